--- a/packages/gateway/src/entry/caller_request.ts
+++ b/packages/gateway/src/entry/caller_request.ts
@@ -29,7 +29,7 @@
   readonly signal: AbortSignal;
 }
 
-export type FinalAnswer =
+export type FinalResponse =
   | (TargetAnswer & { readonly kind: "answered" })
   | {
     readonly kind: "failed";
--- a/packages/gateway/src/entry/request_server.ts
+++ b/packages/gateway/src/entry/request_server.ts
@@ -19,7 +19,7 @@
 import type {
   CallerFields,
   CallerRequest,
-  FinalAnswer,
+  FinalResponse,
 } from "./caller_request.ts";
 
 export interface RequestServerOptions {
@@ -29,7 +29,7 @@
   /** For how long this process has just stood still, if it has. */
   readonly readStallMs: () => number;
   readonly readFields: (headers: readonly HeaderField[]) => CallerFields;
-  readonly handle: (request: CallerRequest) => Promise<FinalAnswer>;
+  readonly handle: (request: CallerRequest) => Promise<FinalResponse>;
   readonly reportFailure: (failure: {
     readonly requestId: string | undefined;
     readonly kind: ErrorKind;
@@ -176,7 +176,7 @@
     message: IncomingMessage,
     arrivedAtMs: number,
     signal: AbortSignal,
-  ): Promise<CallerRequest | (FinalAnswer & { readonly kind: "failed" })> {
+  ): Promise<CallerRequest | (FinalResponse & { readonly kind: "failed" })> {
     const headers = listFields(message.rawHeaders);
     const fields = this.#options.readFields(headers);
     const { requestId } = fields;
@@ -207,7 +207,7 @@
   #fail(
     requestId: string | undefined,
     failure: ErrorKind,
-  ): FinalAnswer & { readonly kind: "failed" } {
+  ): FinalResponse & { readonly kind: "failed" } {
     const message = ERROR_ANSWERS[failure].advice;
     this.#options.reportFailure({ requestId, kind: failure, message });
     return { kind: "failed", failure, message };
@@ -248,7 +248,7 @@
   }
 
   #write(
-    answer: FinalAnswer,
+    answer: FinalResponse,
     { requestId, message, response }: {
       readonly requestId: string | undefined;
       readonly message: IncomingMessage;
@@ -283,7 +283,7 @@
 }
 
 function writeTargetAnswer(
-  answer: FinalAnswer & { readonly kind: "answered" },
+  answer: FinalResponse & { readonly kind: "answered" },
   response: ServerResponse,
 ): void {
   for (const { name, value } of answer.headers) {
@@ -317,7 +317,7 @@
 }
 
 function writeFailure(
-  answer: FinalAnswer & { readonly kind: "failed" },
+  answer: FinalResponse & { readonly kind: "failed" },
   requestId: string | undefined,
   response: ServerResponse,
 ): void {
--- a/packages/gateway/src/entry/request_server_test.ts
+++ b/packages/gateway/src/entry/request_server_test.ts
@@ -2,10 +2,10 @@
 import { connect } from "node:net";
 import { test } from "node:test";
 import { SystemClock } from "@lentilspur/ports/system_clock";
-import type { CallerRequest, FinalAnswer } from "./caller_request.ts";
+import type { CallerRequest, FinalResponse } from "./caller_request.ts";
 import { RequestServer } from "./request_server.ts";
 
-const WHOLE: FinalAnswer = {
+const WHOLE: FinalResponse = {
   kind: "answered",
   status: 200,
   headers: [{ name: "x-signature", value: "s" }],
@@ -16,7 +16,7 @@
 /** Writes `text` on one connection and gives all that comes back until it ends. */
 async function sendRaw(
   text: string,
-  handle: (request: CallerRequest) => FinalAnswer | Promise<FinalAnswer>,
+  handle: (request: CallerRequest) => FinalResponse | Promise<FinalResponse>,
 ): Promise<string> {
   const server = new RequestServer({
     clock: new SystemClock(),
--- a/packages/gateway/src/event_report.ts
+++ b/packages/gateway/src/event_report.ts
@@ -51,7 +51,7 @@
     }
   }
 
-  observeTail(event: TailEvent): void {
+  observeStoreView(event: TailEvent): void {
     const { kind, ...fields } = event;
     this.#lines.log(`store-${kind}`, "notable", fields);
   }
--- a/packages/gateway/src/instance.ts
+++ b/packages/gateway/src/instance.ts
@@ -269,7 +269,7 @@
       fetchTable: (part, keeper, end) =>
         void this.#tables.fetch(part, keeper, end),
       onConfigurationRead: (slice) => this.#relay.sendConfiguration(slice),
-      observe: (event) => this.#report.observeTail(event),
+      observe: (event) => this.#report.observeStoreView(event),
       reportFault: (message) => this.#report.reportFault(message),
     }, this.#running.signal);
   }
@@ -368,8 +368,9 @@
       claim: { instance: settings.instance, incarnation: this.#incarnation },
       topic: this.#adapter.places.owners.topic,
       minMemberTtlMs: settings.minMemberTtlMs,
-      listFacts: (part) => this.#keyTraffic.listFacts(part),
-      getTail: (part) => this.#views.getOwnersTail(part),
+      listServiceSnapshots: (part) =>
+        this.#keyTraffic.listServiceSnapshots(part),
+      getView: (part) => this.#views.getOwnersTail(part),
       getTrustedSinceMs: () => guard.checkTrustedSinceMs(),
       hasEnded: (holder) => this.#catalogue.hasEnded(holder),
       isHeard: (name) => this.#members.isHeard(name, clock.readMs()),
@@ -449,7 +450,7 @@
   #sendOwnRecord(offset: number, record: string): void {
     const { instance: from } = this.#options.settings;
     const message = { kind: "member", from, offset, record } as const;
-    this.#peers.send(this.#members.listOthers(), message);
+    this.#peers.send(this.#members.listPeers(), message);
   }
 
   #sendTo(instance: string, message: PeerMessage): void {
@@ -578,7 +579,7 @@
       clock: this.#options.clock,
       instance: this.#options.settings.instance,
       gate: this.#accounts,
-      listOthers: () => this.#members.listOthers(),
+      listOthers: () => this.#members.listPeers(),
       send: (member, message) => void this.#peers.send([member], message),
     });
   }
--- a/packages/gateway/src/keeper/earlier_keepers.ts
+++ b/packages/gateway/src/keeper/earlier_keepers.ts
@@ -15,7 +15,7 @@
 } from "@lentilspur/ownership/keeper_records";
 import type { Standing } from "@lentilspur/ownership/keeper_standing";
 import type { KeeperTiming } from "@lentilspur/ownership/keeper_timing";
-import type { Predecessor } from "@lentilspur/ownership/key_keeper";
+import type { PredecessorState } from "@lentilspur/ownership/key_keeper";
 import type { Clock } from "@lentilspur/ports/clock";
 import type { KeeperPeers } from "./keeper_peers.ts";
 
@@ -33,7 +33,7 @@
   readonly instance: string;
   readonly incarnation: string;
   readonly term: number;
-  readonly kind: Predecessor["kind"];
+  readonly kind: PredecessorState["kind"];
   readonly leftMs: number;
 }
 
@@ -87,7 +87,7 @@
   }
 
   /** All taken together. */
-  weigh(): Predecessor {
+  weigh(): PredecessorState {
     const weighed = this.#keepers.map((keeper) => this.#weighKeeper(keeper));
     const kinds = weighed.map(({ kind }) => kind);
     return {
@@ -135,7 +135,7 @@
     return keeper.instance === claim.instance || hasInstanceEnded(keeper);
   }
 
-  #weighKeeper(keeper: EarlierKeeper): Predecessor {
+  #weighKeeper(keeper: EarlierKeeper): PredecessorState {
     const { clock, peers } = this.#options;
     if (keeper.resigned) {
       return { kind: "resigned", lastOrderAtMs: keeper.claimedAtMs };
--- a/packages/gateway/src/keeper/keeper_service.ts
+++ b/packages/gateway/src/keeper/keeper_service.ts
@@ -15,7 +15,7 @@
   type GrantedRange,
   type KeeperEvent,
   KeyKeeper,
-  type Predecessor,
+  type PredecessorState,
 } from "@lentilspur/ownership/key_keeper";
 import type { ServiceFacts } from "@lentilspur/ownership/table_planner";
 import {
@@ -45,7 +45,7 @@
     readonly kind: "claimed";
     readonly partition: Partition;
     readonly term: number;
-    readonly predecessor: Predecessor["kind"];
+    readonly predecessor: PredecessorState["kind"];
   }
   | {
     readonly kind: "claim-failed";
@@ -77,9 +77,9 @@
   /** The shortest time after which the store takes a silent member for gone. */
   readonly minMemberTtlMs: number;
   /** Services whose tables are in a partition, with what is known of them. */
-  readonly listFacts: (part: number) => readonly ServiceFacts[];
+  readonly listServiceSnapshots: (part: number) => readonly ServiceFacts[];
   /** The tail of a partition, once there is reason to follow it. */
-  readonly getTail: (part: number) => PartitionTail | undefined;
+  readonly getView: (part: number) => PartitionTail | undefined;
   /** What was confirmed before this time does not count; own clock. */
   readonly getTrustedSinceMs: () => number;
   readonly hasEnded: (holder: Holder) => boolean;
@@ -189,7 +189,7 @@
 
   /** Whom the partition names as its keeper. */
   findKeeper(part: number): KeeperClaim | undefined {
-    const record = this.#options.getTail(part)?.getRecord(KEEPER_KEY);
+    const record = this.#options.getView(part)?.getRecord(KEEPER_KEY);
     return record === undefined ? undefined : parseClaim(record.value);
   }
 
@@ -223,7 +223,7 @@
   }
 
   #hasStore(): boolean {
-    const { clock, getTail } = this.#options;
+    const { clock, getView: getTail } = this.#options;
     const contacts = [...this.#share.list().keys(), ...this.#keepers.keys()]
       .map((part) => getTail(part)?.confirmedAtMs ?? -Infinity);
     const latestMs = Math.max(this.#share.joinedAtMs, ...contacts);
@@ -231,7 +231,7 @@
   }
 
   #getNewestTerm(part: number): number {
-    const known = this.#options.getTail(part)?.getRecord(KEEPER_KEY)?.offset;
+    const known = this.#options.getView(part)?.getRecord(KEEPER_KEY)?.offset;
     return Math.max(known ?? -1, this.#latest.get(part)?.term ?? -1);
   }
 
@@ -294,7 +294,7 @@
 
   /** The partition names another keeper: not one order more. */
   #stopReplaced(): void {
-    const { getTail } = this.#options;
+    const { getView: getTail } = this.#options;
     for (const [part, keeper] of this.#keepers) {
       const record = getTail(part)?.getRecord(KEEPER_KEY);
       if (record !== undefined && record.offset > keeper.term) {
@@ -329,7 +329,8 @@
   }
 
   async #claimIfDue(part: number, sinceMs: number): Promise<void> {
-    const { clock, getTail, listFacts } = this.#options;
+    const { clock, getView: getTail, listServiceSnapshots: listFacts } =
+      this.#options;
     const tail = getTail(part);
     if (
       tail === undefined || !tail.isLoaded || this.#keepers.has(part) ||
@@ -421,8 +422,16 @@
     readonly sentAtMs: number;
   }): void {
     const { part, term, tail, standing, earlier, sentAtMs } = options;
-    const { clock, store, orders, topic, timing, claim, listFacts, hasEnded } =
-      this.#options;
+    const {
+      clock,
+      store,
+      orders,
+      topic,
+      timing,
+      claim,
+      listServiceSnapshots: listFacts,
+      hasEnded,
+    } = this.#options;
     const partition = { topic, part };
     const keeper = new KeyKeeper({
       clock,
--- a/packages/gateway/src/keeper/keeper_world.ts
+++ b/packages/gateway/src/keeper/keeper_world.ts
@@ -72,12 +72,12 @@
       claim: { instance, incarnation },
       topic: OWNERS_PARTITION.topic,
       minMemberTtlMs: 1_000,
-      listFacts: () => [{
+      listServiceSnapshots: () => [{
         service: SERVICE,
         candidates: this.#candidates.map((id) => this.#createCandidate(id)),
         rates: [],
       }],
-      getTail: () => tail,
+      getView: () => tail,
       getTrustedSinceMs: () => -Infinity,
       hasEnded: (holder) => this.#gone.has(holder.id),
       hasInstanceEnded: (claim) => {
--- a/packages/gateway/src/keeper/key_traffic.ts
+++ b/packages/gateway/src/keeper/key_traffic.ts
@@ -75,7 +75,7 @@
   }
 
   /** What a keeper of this partition needs to know. */
-  listFacts(part: number): readonly ServiceFacts[] {
+  listServiceSnapshots(part: number): readonly ServiceFacts[] {
     const nowMs = this.#options.clock.readMs();
     const facts: ServiceFacts[] = [];
     for (
--- a/packages/gateway/src/members/duties.ts
+++ b/packages/gateway/src/members/duties.ts
@@ -121,7 +121,7 @@
   /** The others that are heard of and say often that they are there. */
   listSpeakers(): readonly Member[] {
     const { speakers } = this.#decide();
-    return this.#options.members.listOthers()
+    return this.#options.members.listPeers()
       .filter(({ instance }) => speakers.has(instance));
   }
 
@@ -168,8 +168,8 @@
     const { isRegionSpeaker, speakers } = this.#decide();
     const { self, members } = this.#options;
     return isRegionSpeaker
-      ? members.listOthers()
-      : members.listOthers().filter(({ instance, dataCentre }) =>
+      ? members.listPeers()
+      : members.listPeers().filter(({ instance, dataCentre }) =>
         dataCentre === self.dataCentre || speakers.has(instance)
       );
   }
@@ -177,14 +177,14 @@
   /** The other instances of the data centre. */
   listNear(): readonly Member[] {
     const { self, members } = this.#options;
-    return members.listOthers()
+    return members.listPeers()
       .filter(({ dataCentre }) => dataCentre === self.dataCentre);
   }
 
   /** The instances of the other data centres. */
   listFar(): readonly Member[] {
     const { self, members } = this.#options;
-    return members.listOthers()
+    return members.listPeers()
       .filter(({ dataCentre }) => dataCentre !== self.dataCentre);
   }
 
@@ -202,7 +202,7 @@
   listRelays(): readonly Member[] {
     const { self, members } = this.#options;
     const { localReaders } = this.#decide();
-    return members.listOthers().filter(({ instance, dataCentre }) => {
+    return members.listPeers().filter(({ instance, dataCentre }) => {
       const relay = localReaders.get(dataCentre);
       return dataCentre === self.dataCentre || relay === undefined ||
         relay === instance;
--- a/packages/gateway/src/members/members.ts
+++ b/packages/gateway/src/members/members.ts
@@ -101,7 +101,7 @@
   }
 
   /** All but this instance itself. */
-  listOthers(): readonly Member[] {
+  listPeers(): readonly Member[] {
     this.#others ??= [...this.#members.values()]
       .filter(({ instance }) => instance !== this.#self.instance);
     return this.#others;
@@ -114,7 +114,7 @@
    * their names, so that the first few stand in different data centres.
    */
   listRanked(): readonly RankedInstance[] {
-    this.#ranked ??= [this.#self, ...this.listOthers()]
+    this.#ranked ??= [this.#self, ...this.listPeers()]
       .toSorted((left, right) =>
         right.cores - left.cores ||
         this.#getOrder(left.instance) - this.#getOrder(right.instance)
@@ -134,7 +134,7 @@
 
   /** Instances that there may be, this one included. */
   get count(): number {
-    return this.listOthers().length + 1;
+    return this.listPeers().length + 1;
   }
 
   #setMember(member: Member, nowMs: number): void {
--- a/packages/gateway/src/requests/outcome_settler.ts
+++ b/packages/gateway/src/requests/outcome_settler.ts
@@ -8,7 +8,7 @@
 import type { RoutingTarget } from "@lentilspur/ports/routing_table";
 import type { SuspectDecision } from "@lentilspur/routing/crash_suspects";
 import type { PlaceDecision } from "@lentilspur/routing/service_places";
-import type { FinalAnswer } from "../entry/caller_request.ts";
+import type { FinalResponse } from "../entry/caller_request.ts";
 import type { Catalogue } from "../views/catalogue.ts";
 import {
   computeReturnMs,
@@ -104,7 +104,7 @@
   settleRefusal(
     passage: Passage,
     decision: PlaceDecision & { readonly kind: "refused" },
-  ): FinalAnswer {
+  ): FinalResponse {
     if (passage.mayHaveRun) {
       return createFailure(
         "answer-lost",
@@ -155,7 +155,7 @@
     { crashes, retryAfterMs }: SuspectDecision & {
       readonly kind: "quarantined";
     },
-  ): FinalAnswer {
+  ): FinalResponse {
     const message = `${crashes} targets have ended while they ran it`;
     return passage.mayHaveRun
       ? createFailure("answer-lost", message)
@@ -163,7 +163,7 @@
   }
 
   /** The final answer of a request whose one trial has not answered it. */
-  settleTrial(passage: Passage): FinalAnswer {
+  settleTrial(passage: Passage): FinalResponse {
     return passage.mayHaveRun
       ? createFailure("answer-lost", "Its answer was lost again")
       : this.settleUnserved(passage);
@@ -188,7 +188,7 @@
   }
 
   /** The final answer of a request that no further send can help. */
-  settleUnserved(passage: Passage): FinalAnswer {
+  settleUnserved(passage: Passage): FinalResponse {
     if (passage.mayHaveRun) {
       return createFailure("answer-late", "No answer came in time");
     }
--- a/packages/gateway/src/requests/passage.ts
+++ b/packages/gateway/src/requests/passage.ts
@@ -2,7 +2,7 @@
 import type { Route } from "@lentilspur/ports/routing_table";
 import type { ErrorKind } from "@lentilspur/outcomes/error_kinds";
 import type { Admission } from "../entry/account_gate.ts";
-import type { CallerRequest, FinalAnswer } from "../entry/caller_request.ts";
+import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import { computeFingerprint } from "./request_fingerprint.ts";
 
 /** Of what a caller has left, it waits at most a third before it comes back. */
@@ -33,7 +33,7 @@
 }
 
 export type Step =
-  | { readonly kind: "done"; readonly answer: FinalAnswer }
+  | { readonly kind: "done"; readonly answer: FinalResponse }
   | { readonly kind: "again"; readonly pauseMs: number };
 
 export function getFingerprint(passage: Passage): string {
@@ -45,7 +45,7 @@
   failure: ErrorKind,
   message: string,
   retryAfterMs?: number,
-): FinalAnswer {
+): FinalResponse {
   return {
     kind: "failed",
     failure,
--- a/packages/gateway/src/requests/request_quarantine_test.ts
+++ b/packages/gateway/src/requests/request_quarantine_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { FinalAnswer } from "../entry/caller_request.ts";
+import type { FinalResponse } from "../entry/caller_request.ts";
 import { RequestWorld, type RequestWorldOptions } from "./request_world.ts";
 
 const INSTANCES = ["bole-1", "bole-2", "kirkos-1", "kirkos-2", "yeka-1"];
@@ -26,7 +26,7 @@
   });
 }
 
-function getFailure(answer: FinalAnswer | undefined): string | undefined {
+function getFailure(answer: FinalResponse | undefined): string | undefined {
   return answer?.kind === "failed" ? answer.failure : answer?.kind;
 }
 
@@ -35,8 +35,8 @@
   world: RequestWorld,
   instance: string,
   path: string,
-): Promise<FinalAnswer | undefined> {
-  let answer: FinalAnswer | undefined;
+): Promise<FinalResponse | undefined> {
+  let answer: FinalResponse | undefined;
   void world.send(instance, { path }).then((given) => answer = given);
   await world.clock.advance(2_000);
   return answer;
--- a/packages/gateway/src/requests/request_report.ts
+++ b/packages/gateway/src/requests/request_report.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "@lentilspur/ports/clock";
 import type { SendOutcome } from "@lentilspur/ports/request_sender";
 import type { PlaceDecision } from "@lentilspur/routing/service_places";
-import type { CallerRequest, FinalAnswer } from "../entry/caller_request.ts";
+import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import type { OwnerLookup } from "./owner_finder.ts";
 import { getFingerprint, type Passage } from "./passage.ts";
 
@@ -97,7 +97,7 @@
   reportFinal(
     request: CallerRequest,
     passage: Passage | undefined,
-    answer: FinalAnswer,
+    answer: FinalResponse,
   ): void {
     this.#observe({
       kind: "final",
--- a/packages/gateway/src/requests/request_router.ts
+++ b/packages/gateway/src/requests/request_router.ts
@@ -14,7 +14,7 @@
 import type { RouteHit } from "@lentilspur/routing/route_index";
 import type { PlaceDecision } from "@lentilspur/routing/service_places";
 import type { AccountGate } from "../entry/account_gate.ts";
-import type { CallerRequest, FinalAnswer } from "../entry/caller_request.ts";
+import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import type { Catalogue } from "../views/catalogue.ts";
 import type { WithdrawalReason } from "../views/catalogue_event.ts";
 import type { KeyDirectory } from "../views/key_directory.ts";
@@ -86,7 +86,7 @@
     this.#settler = new OutcomeSettler(options);
   }
 
-  async handle(request: CallerRequest): Promise<FinalAnswer> {
+  async handle(request: CallerRequest): Promise<FinalResponse> {
     const passage = this.#start(request);
     if ("kind" in passage) {
       this.#report.reportFinal(request, undefined, passage);
@@ -98,7 +98,7 @@
     return answer;
   }
 
-  #start(request: CallerRequest): Passage | FinalAnswer {
+  #start(request: CallerRequest): Passage | FinalResponse {
     const { catalogue } = this.#options;
     const { table } = catalogue;
     if (table === undefined) {
@@ -124,7 +124,7 @@
     request: CallerRequest,
     { route, keyText }: RouteHit,
     version: number,
-  ): Passage | FinalAnswer {
+  ): Passage | FinalResponse {
     const { accounts, services, observeKey } = this.#options;
     const service = services.chooseService(route);
     const admission = accounts.admit(request.credential, service);
@@ -160,7 +160,7 @@
     };
   }
 
-  async #run(passage: Passage): Promise<FinalAnswer> {
+  async #run(passage: Passage): Promise<FinalResponse> {
     const { clock } = this.#options;
     for (;;) {
       const stop = this.#updateRoute(passage) ?? this.#findEnd(passage) ??
@@ -177,7 +177,7 @@
   }
 
   /** A change of the configuration may have sent the route elsewhere. */
-  #updateRoute(passage: Passage): FinalAnswer | undefined {
+  #updateRoute(passage: Passage): FinalResponse | undefined {
     const { catalogue, services } = this.#options;
     const version = catalogue.table?.version ?? passage.version;
     if (version === passage.version) {
@@ -199,7 +199,7 @@
     return undefined;
   }
 
-  #findEnd(passage: Passage): FinalAnswer | undefined {
+  #findEnd(passage: Passage): FinalResponse | undefined {
     if (passage.request.signal.aborted) {
       return createFailure("caller-left", "The caller closed the connection");
     }
@@ -209,7 +209,7 @@
       : undefined;
   }
 
-  #checkQuarantine(passage: Passage): FinalAnswer | undefined {
+  #checkQuarantine(passage: Passage): FinalResponse | undefined {
     if (passage.isTrial && passage.sends > 0) {
       return this.#settler.settleTrial(passage);
     }
--- a/packages/gateway/src/requests/request_router_test.ts
+++ b/packages/gateway/src/requests/request_router_test.ts
@@ -15,7 +15,7 @@
   serializeTable,
 } from "@lentilspur/ownership/key_table";
 import { AccountGate } from "../entry/account_gate.ts";
-import type { CallerRequest, FinalAnswer } from "../entry/caller_request.ts";
+import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import { Catalogue } from "../views/catalogue.ts";
 import { Duties } from "../members/duties.ts";
 import { KeyDirectory } from "../views/key_directory.ts";
@@ -162,8 +162,8 @@
   async send(
     changes: Partial<CallerRequest> = {},
     advanceMs = 2_000,
-  ): Promise<FinalAnswer | undefined> {
-    let answer: FinalAnswer | undefined;
+  ): Promise<FinalResponse | undefined> {
+    let answer: FinalResponse | undefined;
     void this.#router.handle({ ...this.#createRequest(), ...changes })
       .then((given) => answer = given);
     await this.clock.advance(advanceMs);
@@ -234,7 +234,7 @@
   }
 }
 
-function getFailure(answer: FinalAnswer | undefined): string {
+function getFailure(answer: FinalResponse | undefined): string {
   return answer?.kind === "failed" ? answer.failure : String(answer?.kind);
 }
 
--- a/packages/gateway/src/requests/request_world.ts
+++ b/packages/gateway/src/requests/request_world.ts
@@ -19,7 +19,7 @@
 import { VirtualClock } from "@lentilspur/ports/virtual_clock";
 import { formatLife } from "@lentilspur/routing/target_life";
 import { AccountGate } from "../entry/account_gate.ts";
-import type { CallerRequest, FinalAnswer } from "../entry/caller_request.ts";
+import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import { Catalogue } from "../views/catalogue.ts";
 import { KeyDirectory } from "../views/key_directory.ts";
 import { Duties } from "../members/duties.ts";
@@ -126,7 +126,7 @@
   send(
     instance: string,
     changes: Partial<CallerRequest> = {},
-  ): Promise<FinalAnswer> {
+  ): Promise<FinalResponse> {
     return this.#paths.get(instance)!.router.handle({
       requestId: `r${++this.#sent}`,
       deadlineMs: 1_500,
--- a/packages/gateway/src/views/partition_tail.ts
+++ b/packages/gateway/src/views/partition_tail.ts
@@ -12,8 +12,8 @@
   Partition,
   Store,
   StoreFailure,
+  StoreReadResult,
   StoreRecord,
-  StoreSlice,
 } from "@lentilspur/ports/store";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
 import { ReadWatch } from "./read_watch.ts";
@@ -267,7 +267,7 @@
   #startRead(
     base: number | typeof NEWEST,
     watch: ReadWatch,
-  ): Promise<Result<StoreSlice, StoreFailure>> {
+  ): Promise<Result<StoreReadResult, StoreFailure>> {
     const { store, partition, getPace } = this.#options;
     const onData = (bytes: number): void => watch.recordData(bytes);
     const { signal } = watch;
--- a/packages/gateway/src/views/read_watch.ts
+++ b/packages/gateway/src/views/read_watch.ts
@@ -10,9 +10,9 @@
  */
 import type { Result } from "@lentilspur/outcomes/result";
 import type { Clock } from "@lentilspur/ports/clock";
-import type { StoreFailure, StoreSlice } from "@lentilspur/ports/store";
+import type { StoreFailure, StoreReadResult } from "@lentilspur/ports/store";
 
-type Read = Result<StoreSlice, StoreFailure>;
+type Read = Result<StoreReadResult, StoreFailure>;
 
 export class ReadWatch {
   readonly #clock: Clock;
--- a/packages/gateway/src/views/store_views_test.ts
+++ b/packages/gateway/src/views/store_views_test.ts
@@ -6,7 +6,7 @@
   ReadRequest,
   Store,
   StoreFailure,
-  StoreSlice,
+  StoreReadResult,
 } from "@lentilspur/ports/store";
 import type {
   RoutingTable,
@@ -196,7 +196,7 @@
   async #read(
     client: Store,
     request: ReadRequest,
-  ): Promise<Result<StoreSlice, StoreFailure>> {
+  ): Promise<Result<StoreReadResult, StoreFailure>> {
     this.reads.push(request.partition.topic);
     if (!this.isSilent) {
       return await client.read(request);
--- a/packages/ownership/src/key_keeper.ts
+++ b/packages/ownership/src/key_keeper.ts
@@ -46,7 +46,7 @@
  * stopped, and none of its orders is on its way. `ended`: it has stopped, and
  * may have orders on their way. `unknown`: it may live and act.
  */
-export interface Predecessor {
+export interface PredecessorState {
   readonly kind: "none" | "resigned" | "ended" | "unknown";
   /** None of its orders leaves after this; own clock. */
   readonly lastOrderAtMs: number;
@@ -90,7 +90,7 @@
   /** Tables as they stood when the claim was accepted. */
   readonly tables: ReadonlyMap<string, KeyTable>;
   /** What is known by now of the keeper before this one. */
-  readonly getPredecessor: () => Predecessor;
+  readonly getPredecessor: () => PredecessorState;
   readonly listFacts: () => readonly ServiceFacts[];
   readonly hasEnded: (holder: Holder) => boolean;
   /** Incarnations that are to be named as witnesses, in a fixed order. */
--- a/packages/ports/src/fake_store.ts
+++ b/packages/ports/src/fake_store.ts
@@ -13,8 +13,8 @@
   ReadRequest,
   Store,
   StoreFailure,
+  StoreReadResult,
   StoreRecord,
-  StoreSlice,
 } from "./store.ts";
 
 /** How the store treats the calls of one caller. */
@@ -117,7 +117,7 @@
   async #read(
     caller: string,
     request: ReadRequest,
-  ): Promise<Result<StoreSlice, StoreFailure>> {
+  ): Promise<Result<StoreReadResult, StoreFailure>> {
     const failure = await this.#wait(caller);
     if (failure !== undefined) {
       return Err(failure);
@@ -143,7 +143,7 @@
     caller: string,
     partition: Partition,
     options: ReadOptions = {},
-  ): Promise<Result<StoreSlice, StoreFailure>> {
+  ): Promise<Result<StoreReadResult, StoreFailure>> {
     const failure = await this.#wait(caller);
     if (failure !== undefined) {
       return Err(failure);
@@ -159,7 +159,7 @@
   /** Lets an answer come in piece by piece, as fast as the caller's link is. */
   async #transfer(
     caller: string,
-    { records }: StoreSlice,
+    { records }: StoreReadResult,
     { onData }: ReadOptions,
   ): Promise<void> {
     const bytesPerMs = this.#linkRates.get(caller) ?? Infinity;
--- a/packages/ports/src/store.ts
+++ b/packages/ports/src/store.ts
@@ -16,7 +16,7 @@
   readonly value: string;
 }
 
-export interface StoreSlice {
+export interface StoreReadResult {
   readonly records: readonly StoreRecord[];
   /** The offset that the next append will get. */
   readonly end: number;
@@ -74,12 +74,12 @@
 export interface Store {
   /** Gives the offset of the appended record. */
   append(request: AppendRequest): Promise<Result<number, StoreFailure>>;
-  read(request: ReadRequest): Promise<Result<StoreSlice, StoreFailure>>;
+  read(request: ReadRequest): Promise<Result<StoreReadResult, StoreFailure>>;
   /** The newest record of each key. */
   readNewest(
     partition: Partition,
     options?: ReadOptions,
-  ): Promise<Result<StoreSlice, StoreFailure>>;
+  ): Promise<Result<StoreReadResult, StoreFailure>>;
   /** Joins a group of instances that divide partitions, or stays in it. */
   join(request: JoinRequest): Promise<Result<GroupShare, StoreFailure>>;
   leave(group: string, member: string): Promise<Result<void, StoreFailure>>;
