--- a/packages/gateway/src/keeper/earlier_keepers.ts
+++ b/packages/gateway/src/keeper/earlier_keepers.ts
@@ -7,13 +7,13 @@
  * each was lost before it had heard of the one before; the records name them,
  * and the one that may act longest decides how long a successor waits.
  */
-import { computeHoldEndMs } from "@lentilspur/ownership/hold_book";
+import { computeHoldEndMs } from "@lentilspur/ownership/hold_tracker";
 import {
   formatIncarnation,
   type KeeperClaim,
   type UnresolvedKeeper,
 } from "@lentilspur/ownership/keeper_records";
-import type { Standing } from "@lentilspur/ownership/keeper_standing";
+import type { PartitionState } from "@lentilspur/ownership/partition_state";
 import type { KeeperTiming } from "@lentilspur/ownership/keeper_timing";
 import type { PredecessorState } from "@lentilspur/ownership/key_keeper";
 import type { Clock } from "@lentilspur/ports/clock";
@@ -55,7 +55,7 @@
   constructor(
     options: EarlierKeepersOptions,
     part: number,
-    standing: Standing,
+    standing: PartitionState,
   ) {
     this.#options = options;
     this.#part = part;
@@ -109,7 +109,7 @@
     }).filter(({ kind, leftMs }) => kind !== "resigned" && leftMs > 0);
   }
 
-  #createKeepers(standing: Standing): readonly EarlierKeeper[] {
+  #createKeepers(standing: PartitionState): readonly EarlierKeeper[] {
     const { claim, witnesses, unresolved, term, tables } = standing;
     const nowMs = this.#options.clock.readMs();
     if (term === undefined && tables.size === 0) {
--- a/packages/gateway/src/keeper/keeper_service.ts
+++ b/packages/gateway/src/keeper/keeper_service.ts
@@ -17,7 +17,7 @@
   KeyKeeper,
   type PredecessorState,
 } from "@lentilspur/ownership/key_keeper";
-import type { ServiceFacts } from "@lentilspur/ownership/table_planner";
+import type { ServiceSnapshot } from "@lentilspur/ownership/table_planner";
 import {
   formatIncarnation,
   KEEPER_KEY,
@@ -25,9 +25,9 @@
 } from "@lentilspur/ownership/keeper_records";
 import {
   parseClaim,
-  parseStanding,
-  type Standing,
-} from "@lentilspur/ownership/keeper_standing";
+  parsePartitionState,
+  type PartitionState,
+} from "@lentilspur/ownership/partition_state";
 import type { KeeperTiming } from "@lentilspur/ownership/keeper_timing";
 import type { Holder } from "@lentilspur/ownership/key_table";
 import { type AwaitedKeeper, EarlierKeepers } from "./earlier_keepers.ts";
@@ -77,7 +77,7 @@
   /** The shortest time after which the store takes a silent member for gone. */
   readonly minMemberTtlMs: number;
   /** Services whose tables are in a partition, with what is known of them. */
-  readonly listServiceSnapshots: (part: number) => readonly ServiceFacts[];
+  readonly listServiceSnapshots: (part: number) => readonly ServiceSnapshot[];
   /** The tail of a partition, once there is reason to follow it. */
   readonly getView: (part: number) => PartitionTail | undefined;
   /** What was confirmed before this time does not count; own clock. */
@@ -284,7 +284,7 @@
 
   /** Everybody heard of now, and everybody that a record may name. */
   #listWitnesses(part: number): readonly string[] {
-    const named = this.#keepers.get(part)?.listNamed() ?? [];
+    const named = this.#keepers.get(part)?.listNamedWitnesses() ?? [];
     return [...new Set([...this.#listHeard(), ...named.map(parseInstance)])];
   }
 
@@ -375,7 +375,7 @@
       return;
     }
     const { records, end: at } = read.val;
-    const standing = parseStanding(records, at);
+    const standing = parsePartitionState(records, at);
     for (const message of standing.faults) {
       observe({ kind: "record-fault", message });
     }
@@ -403,7 +403,7 @@
     this.#startKeeper({ part, term, tail, standing, earlier, sentAtMs });
   }
 
-  #createEarlier(part: number, standing: Standing): EarlierKeepers {
+  #createEarlier(part: number, standing: PartitionState): EarlierKeepers {
     const { clock, timing, claim, hasInstanceEnded } = this.#options;
     const peers = this.#peers;
     return new EarlierKeepers(
@@ -417,7 +417,7 @@
     readonly part: number;
     readonly term: number;
     readonly tail: PartitionTail;
-    readonly standing: Standing;
+    readonly standing: PartitionState;
     readonly earlier: EarlierKeepers;
     readonly sentAtMs: number;
   }): void {
@@ -444,7 +444,7 @@
       claim,
       tables: standing.tables,
       getPredecessor: () => earlier.weigh(),
-      listFacts: () => listFacts(part),
+      listServiceSnapshots: () => listFacts(part),
       hasEnded,
       listWitnesses: () =>
         this.#options.listHeard().map(formatIncarnation).toSorted(),
@@ -455,8 +455,9 @@
       observe: (event) =>
         this.#options.observe({ kind: "keeper", partition, event }),
       onAppended: (record) => this.#options.onAppended?.(part, record),
-      onResolved: (end) => this.#options.onResolved?.(part, end),
-      onTable: (written) => this.#options.onTable?.({ ...written, part }),
+      onRestored: (end) => this.#options.onResolved?.(part, end),
+      onTableWritten: (written) =>
+        this.#options.onTable?.({ ...written, part }),
       onGranted: (granted) => this.#options.onGranted?.(granted),
     });
     this.#keepers.set(part, keeper);
--- a/packages/gateway/src/keeper/keeper_world.ts
+++ b/packages/gateway/src/keeper/keeper_world.ts
@@ -6,7 +6,7 @@
 import { FakeStore } from "@lentilspur/ports/fake_store";
 import { VirtualClock } from "@lentilspur/ports/virtual_clock";
 import { DEFAULT_KEEPER_TIMING } from "@lentilspur/ownership/keeper_timing";
-import type { OwnerCandidate } from "@lentilspur/ownership/owner_standing";
+import type { OwnerCandidate } from "@lentilspur/ownership/owner_load";
 import type { KeeperClaim } from "@lentilspur/ownership/keeper_records";
 import type { KeeperMessage } from "./keeper_peers.ts";
 import { KeeperService, type KeeperServiceEvent } from "./keeper_service.ts";
@@ -68,7 +68,7 @@
       orders: this.holders.createClient((target) =>
         !stop.signal.aborted && !this.#unreachable.has(`${instance}>${target}`)
       ),
-      timing: { ...DEFAULT_KEEPER_TIMING, dealAfterMs: 0 },
+      timing: { ...DEFAULT_KEEPER_TIMING, distributeAfterMs: 0 },
       claim: { instance, incarnation },
       topic: OWNERS_PARTITION.topic,
       minMemberTtlMs: 1_000,
--- a/packages/gateway/src/keeper/key_traffic.ts
+++ b/packages/gateway/src/keeper/key_traffic.ts
@@ -6,8 +6,8 @@
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Route, RoutingTarget } from "@lentilspur/ports/routing_table";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
-import type { OwnerCandidate } from "@lentilspur/ownership/owner_standing";
-import type { ServiceFacts } from "@lentilspur/ownership/table_planner";
+import type { OwnerCandidate } from "@lentilspur/ownership/owner_load";
+import type { ServiceSnapshot } from "@lentilspur/ownership/table_planner";
 import { KeyLoad } from "@lentilspur/ownership/key_load";
 import type { Catalogue } from "../views/catalogue.ts";
 import type { KeeperService } from "./keeper_service.ts";
@@ -75,9 +75,9 @@
   }
 
   /** What a keeper of this partition needs to know. */
-  listServiceSnapshots(part: number): readonly ServiceFacts[] {
+  listServiceSnapshots(part: number): readonly ServiceSnapshot[] {
     const nowMs = this.#options.clock.readMs();
-    const facts: ServiceFacts[] = [];
+    const facts: ServiceSnapshot[] = [];
     for (
       const service of this.#options.catalogue.table?.services.values() ?? []
     ) {
--- a/packages/ownership/src/fading_counts.ts
+++ b/packages/ownership/src/decaying_counters.ts
@@ -5,7 +5,7 @@
 /** A count that has faded below this is dropped. */
 const MIN_COUNT = 1e-2;
 
-export class FadingCounts {
+export class DecayingCounters {
   readonly #fadeMs: number;
   readonly #counts = new Map<number, number>();
   #scale = 1;
--- a/packages/ownership/src/hold_book.ts
+++ b/packages/ownership/src/hold_tracker.ts
@@ -27,16 +27,16 @@
   recordUnsent(): void;
 }
 
-export class HoldBook {
+export class HoldTracker {
   #grants: SentGrant[] = [];
 
   /** Records a grant before it is sent. Untold, it counts as unanswered. */
   recordSent(
     targetId: string,
     range: KeyRange,
-    options: { readonly givenUpAtMs: number; readonly holdMs: number },
+    options: { readonly timeoutAtMs: number; readonly holdMs: number },
   ): GrantRecord {
-    const endsAtMs = computeHoldEndMs(options.givenUpAtMs, options.holdMs);
+    const endsAtMs = computeHoldEndMs(options.timeoutAtMs, options.holdMs);
     const grant: SentGrant = {
       targetId,
       from: range.from,
--- a/packages/ownership/src/keeper_timing.ts
+++ b/packages/ownership/src/keeper_timing.ts
@@ -9,13 +9,13 @@
    */
   readonly holdMs: number;
   /** Three renewals may fail before a hold runs out. */
-  readonly renewEveryMs: number;
+  readonly renewIntervalMs: number;
   /** An order that has no answer after this is given up and sent anew. */
   readonly orderTimeoutMs: number;
   /** A release waits for running work, of which the longest takes about 1 s. */
   readonly releaseTimeoutMs: number;
   /** Between two orders for one range that did not succeed. */
-  readonly retryEveryMs: number;
+  readonly retryIntervalMs: number;
   /**
    * For so long without the store a keeper acts on its own. A successor that
    * knows nothing of it waits this out, besides the hold; a read of the
@@ -35,36 +35,36 @@
    */
   readonly maxAuthorityMs: number;
   /** A target whose orders have failed for this long is relieved of its keys. */
-  readonly silentAfterMs: number;
+  readonly unresponsiveAfterMs: number;
   /**
    * The keys of a service are dealt out once no target has joined for this long,
    * or when they are asked for. Targets that start together write their first
    * entries within a heartbeat interval of each other, about 1 s.
    */
-  readonly dealAfterMs: number;
+  readonly distributeAfterMs: number;
   /** Between two looks at who should own what. */
-  readonly planEveryMs: number;
+  readonly planIntervalMs: number;
 }
 
 export const DEFAULT_KEEPER_TIMING: KeeperTiming = {
   holdMs: 3_000,
-  renewEveryMs: 750,
+  renewIntervalMs: 750,
   orderTimeoutMs: 400,
   releaseTimeoutMs: 1_500,
-  retryEveryMs: 250,
+  retryIntervalMs: 250,
   authorityMs: 2_000,
   pledgeMs: 6_000,
   maxAuthorityMs: 60_000,
-  silentAfterMs: 1_200,
-  dealAfterMs: 1_000,
-  planEveryMs: 400,
+  unresponsiveAfterMs: 1_200,
+  distributeAfterMs: 1_000,
+  planIntervalMs: 400,
 };
 
 /** The hold that a target accepts may be shorter than the one wished for. */
 export function resolveKeeperTiming(maxHoldMs: number): KeeperTiming {
   const holdMs = Math.min(DEFAULT_KEEPER_TIMING.holdMs, maxHoldMs);
   const renewEveryMs = Math.min(
-    DEFAULT_KEEPER_TIMING.renewEveryMs,
+    DEFAULT_KEEPER_TIMING.renewIntervalMs,
     holdMs / 4,
   );
   return Object.freeze({ ...DEFAULT_KEEPER_TIMING, holdMs, renewEveryMs });
--- a/packages/ownership/src/key_keeper.ts
+++ b/packages/ownership/src/key_keeper.ts
@@ -16,7 +16,7 @@
   StoreFailure,
   StoreRecord,
 } from "@lentilspur/ports/store";
-import { computeHoldEndMs } from "./hold_book.ts";
+import { computeHoldEndMs } from "./hold_tracker.ts";
 import {
   type Holder,
   type KeyTable,
@@ -33,13 +33,13 @@
   type UnresolvedKeeper,
   WITNESSES_KEY,
 } from "./keeper_records.ts";
-import { parseStanding, type Standing } from "./keeper_standing.ts";
+import { parsePartitionState, type PartitionState } from "./partition_state.ts";
 import {
   type InheritedGrants,
   type OrderReport,
-  RangeKeeper,
-} from "./range_keeper.ts";
-import { type ServiceFacts, TablePlanner } from "./table_planner.ts";
+  TableReconciler,
+} from "./table_reconciler.ts";
+import { type ServiceSnapshot, TablePlanner } from "./table_planner.ts";
 
 /**
  * What is known of the keeper before. `none`: there was none. `resigned`: it has
@@ -91,7 +91,7 @@
   readonly tables: ReadonlyMap<string, KeyTable>;
   /** What is known by now of the keeper before this one. */
   readonly getPredecessor: () => PredecessorState;
-  readonly listFacts: () => readonly ServiceFacts[];
+  readonly listServiceSnapshots: () => readonly ServiceSnapshot[];
   readonly hasEnded: (holder: Holder) => boolean;
   /** Incarnations that are to be named as witnesses, in a fixed order. */
   readonly listWitnesses: () => readonly string[];
@@ -110,9 +110,9 @@
    * Told where the partition ends once that had to be read: a table may stand
    * there whose answer was lost, so that nobody has been told of it.
    */
-  readonly onResolved?: (end: number) => void;
+  readonly onRestored?: (end: number) => void;
   /** Told of each table that was written, after its record was accepted. */
-  readonly onTable?: (written: {
+  readonly onTableWritten?: (written: {
     readonly service: string;
     readonly offset: number;
     readonly before: KeyTable | undefined;
@@ -146,7 +146,7 @@
 export class KeyKeeper {
   readonly #options: KeyKeeperOptions;
   readonly #tables = new Map<string, KeyTable>();
-  readonly #keepers = new Map<string, RangeKeeper>();
+  readonly #reconcilers = new Map<string, TableReconciler>();
   readonly #stop = new AbortController();
   readonly #planner: TablePlanner;
   #end: number;
@@ -184,11 +184,11 @@
     const { clock, timing } = this.#options;
     while (!this.hasStopped) {
       const nowMs = clock.readMs();
-      for (const keeper of this.#keepers.values()) {
+      for (const keeper of this.#reconcilers.values()) {
         keeper.advance();
       }
       if (nowMs >= this.#nextPlanAtMs && this.#mayAct()) {
-        this.#nextPlanAtMs = nowMs + timing.planEveryMs;
+        this.#nextPlanAtMs = nowMs + timing.planIntervalMs;
         await this.#plan();
       }
       await this.#writeSettled();
@@ -234,7 +234,7 @@
 
   /** Whether none of its grants may be carried out unseen any more. */
   get isClean(): boolean {
-    return [...this.#keepers.values()]
+    return [...this.#reconcilers.values()]
       .every((keeper) => !keeper.hasUnanswered());
   }
 
@@ -260,23 +260,23 @@
     const { clock } = this.#options;
     if (clock.readMs() >= this.#nextRegainAtMs) {
       this.#nextRegainAtMs = clock.readMs() + REGAIN_EVERY_MS;
-      await this.#resolve();
+      await this.#restoreFromStore();
     }
   }
 
   #setTable(service: string, table: KeyTable): void {
     this.#tables.set(service, table);
-    let keeper = this.#keepers.get(service);
+    let keeper = this.#reconcilers.get(service);
     if (keeper === undefined) {
-      keeper = this.#createRangeKeeper(service);
-      this.#keepers.set(service, keeper);
+      keeper = this.#createReconciler(service);
+      this.#reconcilers.set(service, keeper);
     }
     keeper.setTable(table);
   }
 
-  #createRangeKeeper(service: string): RangeKeeper {
+  #createReconciler(service: string): TableReconciler {
     const { clock, orders, timing, term, hasEnded, observe } = this.#options;
-    return new RangeKeeper({
+    return new TableReconciler({
       clock,
       orders,
       timing,
@@ -287,7 +287,7 @@
       getInherited: () => this.#describeInherited(),
       report: (report) => observe({ kind: "order", service, ...report }),
       onGranted: (range) => this.#options.onGranted?.({ service, range }),
-      onSuperseded: () => void this.#resolve(),
+      onSuperseded: () => void this.#restoreFromStore(),
     });
   }
 
@@ -313,13 +313,13 @@
   }
 
   async #plan(): Promise<void> {
-    for (const facts of this.#options.listFacts()) {
+    for (const facts of this.#options.listServiceSnapshots()) {
       const { service } = facts;
       const plan = this.#planner.plan(facts, {
         table: this.#tables.get(service),
-        keeper: this.#keepers.get(service),
+        reconciler: this.#reconcilers.get(service),
         token: this.#end,
-        balances: this.#hasFastMoves(),
+        rebalance: this.#hasFastMoves(),
       });
       if (plan !== undefined) {
         await this.#writeTable(service, plan.table, plan.changes);
@@ -368,7 +368,7 @@
   }
 
   /** Incarnations that a successor may find named as this keeper's witnesses. */
-  listNamed(): readonly string[] {
+  listNamedWitnesses(): readonly string[] {
     return [...this.#named];
   }
 
@@ -379,7 +379,7 @@
       return;
     }
     for (const [service, table] of this.#tables) {
-      const keeper = this.#keepers.get(service)!;
+      const keeper = this.#reconcilers.get(service)!;
       const isNews = table.ranges
         .some((range) => range.former.length > 0 && keeper.isSettled(range));
       if (!isNews || !this.#mayAct()) {
@@ -402,8 +402,8 @@
     }
     this.#nextSettledAtMs = this.#options.clock.readMs() + SETTLED_EVERY_MS;
     this.#setTable(service, after);
-    this.#keepers.get(service)!.advance();
-    this.#options.onTable?.({ service, offset, before, after });
+    this.#reconcilers.get(service)!.advance();
+    this.#options.onTableWritten?.({ service, offset, before, after });
     return true;
   }
 
@@ -433,7 +433,7 @@
     });
     this.#nextAppendAtMs = clock.readMs() + REFUSED_PAUSE_MS;
     if (failure.kind !== "refused") {
-      await this.#resolve();
+      await this.#restoreFromStore();
     }
     return false;
   }
@@ -444,8 +444,8 @@
    * it. An append still on its way can only fail or be found the next time,
    * since its condition names one offset.
    */
-  async #resolve(): Promise<void> {
-    const standing = await this.#readStanding();
+  async #restoreFromStore(): Promise<void> {
+    const standing = await this.#readPartitionState();
     if (!standing.ok) {
       return;
     }
@@ -457,10 +457,10 @@
     for (const [service, table] of standing.val.tables) {
       this.#setTable(service, table);
     }
-    this.#options.onResolved?.(this.#end);
+    this.#options.onRestored?.(this.#end);
   }
 
-  async #readStanding(): Promise<Result<Standing, StoreFailure>> {
+  async #readPartitionState(): Promise<Result<PartitionState, StoreFailure>> {
     const { store, partition, clock } = this.#options;
     const sentAtMs = clock.readMs();
     const read = await store.readNewest(partition);
@@ -468,6 +468,6 @@
       return Err(read.val);
     }
     this.#contactAtMs = sentAtMs;
-    return Ok(parseStanding(read.val.records, read.val.end));
+    return Ok(parsePartitionState(read.val.records, read.val.end));
   }
 }
--- a/packages/ownership/src/key_keeper_test.ts
+++ b/packages/ownership/src/key_keeper_test.ts
@@ -9,15 +9,15 @@
   type KeyKeeperOptions,
 } from "./key_keeper.ts";
 import { formatTableKey, KEEPER_KEY } from "./keeper_records.ts";
-import { parseStanding } from "./keeper_standing.ts";
+import { parsePartitionState } from "./partition_state.ts";
 import { DEFAULT_KEEPER_TIMING } from "./keeper_timing.ts";
-import type { OwnerCandidate } from "./owner_standing.ts";
+import type { OwnerCandidate } from "./owner_load.ts";
 
 const PARTITION = { topic: "owners", part: 0 };
 const SERVICE = "files";
 
 /** One world of a store and targets, in which keepers come and go. */
-class World {
+class KeyKeeperSimulation {
   readonly clock = new VirtualClock();
   readonly store = new FakeStore(this.clock);
   readonly holders = new FakeKeyHolders(this.clock);
@@ -25,10 +25,10 @@
   candidates: OwnerCandidate[] = ["a", "b"].map(createCandidate);
   readonly ended = new Set<string>();
   /** Targets are there from the start, except where they join. */
-  dealAfterMs = 0;
+  distributeAfterMs = 0;
   /** Whether all witnesses let a keeper act without the store. */
   hasPledges = false;
-  recordResolved: (end: number) => void = () => undefined;
+  recordRestored: (end: number) => void = () => undefined;
   /** Instances that cannot reach the store. */
   readonly cut = new Set<string>();
 
@@ -43,7 +43,7 @@
   ): KeyKeeper {
     const claim = { instance, incarnation: `${instance}-1` };
     const records = this.store.listRecords(PARTITION);
-    const standing = parseStanding(records, records.length);
+    const standing = parsePartitionState(records, records.length);
     const term = this.store
       .write(PARTITION, KEEPER_KEY, JSON.stringify(claim));
     const kind = options.predecessor ?? "none";
@@ -55,7 +55,10 @@
       store: this.store.createClient(instance),
       orders: this.holders.createClient(options.canReach),
       partition: PARTITION,
-      timing: { ...DEFAULT_KEEPER_TIMING, dealAfterMs: this.dealAfterMs },
+      timing: {
+        ...DEFAULT_KEEPER_TIMING,
+        distributeAfterMs: this.distributeAfterMs,
+      },
       term,
       claim,
       tables: standing.tables,
@@ -64,7 +67,7 @@
       listWitnesses: () => [],
       listUnresolved: () => [],
       hasPledges: () => this.hasPledges,
-      listFacts: () => [{
+      listServiceSnapshots: () => [{
         service: SERVICE,
         candidates: this.candidates,
         rates: [],
@@ -74,7 +77,7 @@
         this.cut.has(instance) ? -Infinity : this.clock.readMs(),
       getTrustedSinceMs: options.getTrustedSinceMs ?? (() => -Infinity),
       observe: (event) => this.events.push(event),
-      onResolved: (end) => this.recordResolved(end),
+      onRestored: (end) => this.recordRestored(end),
     };
     const keeper = new KeyKeeper(keeperOptions);
     void keeper.run();
@@ -88,7 +91,9 @@
 
   readOwners(): readonly string[] {
     const records = this.store.listRecords(PARTITION);
-    const table = parseStanding(records, records.length).tables.get(SERVICE);
+    const table = parsePartitionState(records, records.length).tables.get(
+      SERVICE,
+    );
     return table?.ranges.map((range) => range.owner.id) ?? [];
   }
 }
@@ -98,7 +103,7 @@
 }
 
 test("a first keeper divides the keys and grants them", async () => {
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
   assert.deepEqual(world.readOwners(), Array(6).fill(["a", "b"]).flat());
@@ -110,7 +115,7 @@
   // A user sees two answers of two case files that should be one. A target is
   // told to leave; its keys are granted to another while it still works on
   // one of them. The grant must wait for the answer to the release.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
   world.candidates = [createCandidate("b")];
@@ -128,7 +133,7 @@
 test("keys of a target that cannot be reached wait for its hold to end", async () => {
   // A target is cut off and goes on serving its keys, since it holds them for
   // 4 s more. Granted to another at once, they would have two owners.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
   world.holders.setMood("a", "unreachable");
@@ -145,7 +150,7 @@
   // keys on connections that never open, for seconds, and can move nothing. When
   // the store is back, its hold has long run out; counted from the last try,
   // its keys went unserved for 4 s more.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
   world.closeStoreTo("one");
@@ -161,7 +166,7 @@
 
 test("a target that has ended is not waited for", async () => {
   // Another process was seen at its address: nobody holds its keys.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
   world.holders.setMood("a", "unreachable");
@@ -178,7 +183,7 @@
   // A renewal gets no answer. The target then answers a release, and 2 s after
   // it carries the renewal out all the same: it holds the keys again, while
   // they have been granted to another.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
   world.holders.setLateMs(2_500);
@@ -196,7 +201,7 @@
   // The new owner never answers and is replaced in turn. Releasing the former
   // holder anew began the wait for late grants anew: the key had no owner for
   // 6.5 s, and 750 requests were refused.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.candidates = [createCandidate("a")];
   world.startKeeper("one");
   await world.clock.advance(500);
@@ -217,7 +222,7 @@
 test("a keeper that was replaced writes and orders nothing more", async () => {
   // Two instances believe that they keep the keys: the first one's append
   // fails, since the partition ends with the second one's claim.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   const first = world.startKeeper("one");
   await world.clock.advance(500);
   world.startKeeper("two", { predecessor: "unknown" });
@@ -236,7 +241,7 @@
   // The keeper is cut from the store but not from target a, and goes on
   // renewing. Its successor reaches the store but not target a. Were only the
   // hold waited out, a would still be renewed when its keys go to b.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
   world.closeStoreTo("one");
@@ -254,7 +259,7 @@
 test("keys are served on while the store is away", async () => {
   // The store is down for 50 s, and every other instance has pledged to wait.
   // Without renewals every key would stop being served within 4 s.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.hasPledges = true;
   world.startKeeper("one");
   await world.clock.advance(500);
@@ -269,7 +274,7 @@
 
 test("a keeper stops renewing when its authority has ended", async () => {
   // Away from the store for longer, another may have been claimed meanwhile.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
   world.closeStoreTo("one");
@@ -280,7 +285,7 @@
 test("a suspended keeper asks the store before its next order", async () => {
   // The machine was suspended; the steady clock stood still, so the keeper
   // would take its authority for fresh. What was confirmed before is void.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   let trustedSinceMs = -Infinity;
   world.startKeeper("one", { getTrustedSinceMs: () => trustedSinceMs });
   await world.clock.advance(500);
@@ -295,7 +300,7 @@
   // The time of day steps by 2 s on the keeper's machine. That may have been a
   // suspension, so what was confirmed before is void; but the next read of its
   // tail ends up to 3 s later, and every key would go unheld meanwhile.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   let trustedSinceMs = -Infinity;
   world.startKeeper("one", { getTrustedSinceMs: () => trustedSinceMs });
   await world.clock.advance(3_000);
@@ -311,9 +316,9 @@
   // The store takes a table and its answer is lost. The keeper finds it there,
   // and the next table is told by what differs from it; others, who never heard
   // of it, would put that onto the one before, and send keys to wrong owners.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   const told: number[] = [];
-  world.recordResolved = (end) => told.push(end);
+  world.recordRestored = (end) => told.push(end);
   world.startKeeper("one");
   await world.clock.advance(500);
   assert.deepEqual(told, []);
@@ -329,7 +334,7 @@
 test("an append whose answer was lost is found in the store", async () => {
   // The table with the new owner is in the store, but its answer is not back.
   // Written anew it would conflict for ever; read back, the move goes on.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
   world.store.setMood("one", "losing-answers");
@@ -346,7 +351,7 @@
   // unheld when the first keeper is back. But a target may have started again
   // under its id meanwhile, and would get keys under the token of its life
   // before, if the successor went on with the tokens that it found.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   const first = world.startKeeper("one");
   await world.clock.advance(500);
   const owners = world.readOwners();
@@ -372,7 +377,7 @@
   // shows it. The next renewal would give the new life the keys under the token
   // that the old one had, which the rules forbid: its earlier work may still
   // take effect under that token.
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(2_000);
   const owners = world.readOwners();
@@ -385,7 +390,7 @@
 });
 
 test("a target that starts again at another address gets keys there", async () => {
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(2_000);
   world.holders.restart("a");
@@ -395,7 +400,9 @@
   ];
   await world.clock.advance(6_000);
   const records = world.store.listRecords(PARTITION);
-  const table = parseStanding(records, records.length).tables.get(SERVICE)!;
+  const table = parsePartitionState(records, records.length).tables.get(
+    SERVICE,
+  )!;
   assert.ok(
     table.ranges.every(({ owner, former }) =>
       owner.address !== "a:80" && former.length === 0
@@ -407,8 +414,8 @@
 test("keys are dealt to all targets that start together", async () => {
   // Targets register over a second or two. Dealt to the first at once, all keys
   // would have one owner when the first callers come.
-  const world = new World();
-  world.dealAfterMs = DEFAULT_KEEPER_TIMING.dealAfterMs;
+  const world = new KeyKeeperSimulation();
+  world.distributeAfterMs = DEFAULT_KEEPER_TIMING.distributeAfterMs;
   const all = ["a", "b", "c", "d"].map(createCandidate);
   world.candidates = all.slice(0, 1);
   world.startKeeper("one");
@@ -427,7 +434,7 @@
 });
 
 test("a target that joins before anything is asked for gets its share", async () => {
-  const world = new World();
+  const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(1_000);
   world.candidates = ["a", "b", "c"].map(createCandidate);
--- a/packages/ownership/src/key_load.ts
+++ b/packages/ownership/src/key_load.ts
@@ -9,24 +9,24 @@
  * the lasting differences.
  */
 import { LAST_KEY } from "@lentilspur/ports/key_orders";
-import { FadingCounts } from "./fading_counts.ts";
+import { DecayingCounters } from "./decaying_counters.ts";
 
 /** The short count: a spell's first second. */
-export const RECENT_MS = 1_500;
+export const RECENT_TIME_CONSTANT_MS = 1_500;
 /** The long count: longer than a spell, far shorter than a day's drift. */
-export const USUAL_MS = 8_000;
+export const LONG_TERM_TIME_CONSTANT_MS = 8_000;
 
 export interface KeyRate {
   readonly key: number;
   /** Requests a second, of late. */
   readonly recent: number;
   /** Requests a second, over a longer time. */
-  readonly usual: number;
+  readonly longTerm: number;
 }
 
 export class KeyLoad {
-  readonly #recent = new FadingCounts(RECENT_MS);
-  readonly #usual = new FadingCounts(USUAL_MS);
+  readonly #recent = new DecayingCounters(RECENT_TIME_CONSTANT_MS);
+  readonly #usual = new DecayingCounters(LONG_TERM_TIME_CONSTANT_MS);
 
   observe(keys: readonly number[], nowMs: number): void {
     const valid = keys.filter((key) => key >= 0 && key <= LAST_KEY);
@@ -39,7 +39,7 @@
     const recent = this.#recent.listRates(nowMs);
     const rates: KeyRate[] = [];
     for (const [key, usual] of this.#usual.listRates(nowMs)) {
-      rates.push({ key, usual, recent: recent.get(key) ?? 0 });
+      rates.push({ key, longTerm: usual, recent: recent.get(key) ?? 0 });
     }
     return rates.sort((left, right) => left.key - right.key);
   }
--- a/packages/ownership/src/key_planner.ts
+++ b/packages/ownership/src/key_planner.ts
@@ -11,7 +11,7 @@
 import type { KeyRate } from "./key_load.ts";
 import {
   createTable,
-  isSamePlace,
+  isSameEndpoint,
   type KeyTable,
   type OwnedRange,
   type Reassignment,
@@ -19,28 +19,28 @@
 import { planMerges } from "./merge_plan.ts";
 import { planOrphans } from "./orphan_plan.ts";
 import {
-  chooseIdlest,
-  computeAverageBusy,
-  computeRate,
-  createLines,
-  createStandings,
+  chooseLeastUtilized,
+  computeAverageUtilization,
+  computeCapacity,
+  createOwnerLoads,
+  createRateIndexes,
+  type KeyRateIndexes,
   moveKeys,
   type OwnerCandidate,
-  type RateLines,
-  type Standing,
-} from "./owner_standing.ts";
-import type { CountedRate, RateLine } from "./rate_line.ts";
+  type OwnerLoad,
+} from "./owner_load.ts";
+import type { CountedRate, KeyRateIndex } from "./key_rate_index.ts";
 import {
   findEdge,
   findNarrowest,
+  isCloseToRate,
   isNarrower,
-  isUseful,
-  type Stretch,
-  toWholeStretch,
-} from "./stretch_choice.ts";
+  type Subrange,
+  toSubrange,
+} from "./subrange_selection.ts";
 
 /** Of a target with one place, the share that is to be free on average. */
-const CALM_MARGIN = 0.57;
+const SINGLE_PLACE_HEADROOM = 0.57;
 /** And only if it is this much busier than the average. */
 const MIN_EXCESS = 1.15;
 /** A key that asks for less than this share of its owner is only busy. */
@@ -61,7 +61,7 @@
 
 export interface PlanOptions {
   /** Whether owners that have too much are relieved as well. */
-  readonly balances: boolean;
+  readonly rebalance: boolean;
 }
 
 /** Keys whose owner is gone or leaving, and keys of owners that have too much. */
@@ -69,19 +69,19 @@
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
   rates: readonly KeyRate[],
-  { balances }: PlanOptions = { balances: true },
+  { rebalance: balances }: PlanOptions = { rebalance: true },
 ): readonly Reassignment[] {
   if (candidates.length === 0) {
     return [];
   }
-  if (balances && rates.length === 0 && hasNewcomer(table, candidates)) {
-    return planDeal(table, candidates);
+  if (balances && rates.length === 0 && hasNewTarget(table, candidates)) {
+    return planEvenDistribution(table, candidates);
   }
-  const lines = createLines(rates);
-  const standings = createStandings(table, candidates, lines);
+  const lines = createRateIndexes(rates);
+  const standings = createOwnerLoads(table, candidates, lines);
   const isCrowded = table.ranges.length >
     Math.min(MAX_RANGES, MAX_RANGES_PER_TARGET * candidates.length);
-  const orphans = planOrphans(table, standings, lines.usual);
+  const orphans = planOrphans(table, standings, lines.longTerm);
   if (!balances) {
     return orphans;
   }
@@ -90,12 +90,12 @@
   return [...orphans, ...moves, ...merges];
 }
 
-function hasNewcomer(
+function hasNewTarget(
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
 ): boolean {
   return candidates.some((candidate) =>
-    !table.ranges.some(({ owner }) => isSamePlace(owner, candidate))
+    !table.ranges.some(({ owner }) => isSameEndpoint(owner, candidate))
   );
 }
 
@@ -106,22 +106,22 @@
  * registered first would own all keys when they come, and for 4 to 18 s more
  * than half of the requests for keys would be refused.
  */
-function planDeal(
+function planEvenDistribution(
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
 ): readonly Reassignment[] {
   return createTable(candidates, 0).ranges
     .filter((dealt) =>
       table.ranges.some((range) =>
-        hasOverlap(range, dealt) && !isSamePlace(range.owner, dealt.owner)
+        hasOverlap(range, dealt) && !isSameEndpoint(range.owner, dealt.owner)
       )
     )
     .map(({ from, to, owner }) => ({ from, to, owner }));
 }
 
 function planBalance(
-  standings: ReadonlyMap<string, Standing>,
-  lines: RateLines,
+  standings: ReadonlyMap<string, OwnerLoad>,
+  lines: KeyRateIndexes,
   isCrowded: boolean,
 ): readonly Reassignment[] {
   const changes: Reassignment[] = [];
@@ -137,14 +137,14 @@
 }
 
 function planOneMove(
-  standings: ReadonlyMap<string, Standing>,
-  lines: RateLines,
+  standings: ReadonlyMap<string, OwnerLoad>,
+  lines: KeyRateIndexes,
   isCrowded: boolean,
 ): Reassignment | undefined {
-  const average = computeAverageBusy(standings);
+  const average = computeAverageUtilization(standings);
   const givers = [...standings.values()]
-    .filter((one) => hasTooMuch(one, average))
-    .sort((left, right) => right.busy - left.busy);
+    .filter((one) => isOverloaded(one, average))
+    .sort((left, right) => right.utilization - left.utilization);
   // One that nothing can be taken from must not keep the others from relief.
   for (const giver of givers) {
     const options = { giver, standings, lines, average, isCrowded };
@@ -153,13 +153,13 @@
       return change;
     }
   }
-  return planForNewcomer(standings, lines.usual, average);
+  return planForNewTarget(standings, lines.longTerm, average);
 }
 
 interface ReliefOptions {
-  readonly giver: Standing;
-  readonly standings: ReadonlyMap<string, Standing>;
-  readonly lines: RateLines;
+  readonly giver: OwnerLoad;
+  readonly standings: ReadonlyMap<string, OwnerLoad>;
+  readonly lines: KeyRateIndexes;
   /** Share of all places that is busy. */
   readonly average: number;
   readonly isCrowded: boolean;
@@ -179,14 +179,15 @@
   const hot = findHottest(giver, rates);
   if (
     hot === undefined ||
-    hot.perSecond < HOT_SHARE * computeRate(giver.candidate)
+    hot.perSecond < HOT_SHARE * computeCapacity(giver.candidate)
   ) {
     return undefined;
   }
   const receiver = chooseFastest(standings, rates);
   if (
     receiver === undefined ||
-    computeRate(receiver.candidate) < MIN_GAIN * computeRate(giver.candidate)
+    computeCapacity(receiver.candidate) <
+      MIN_GAIN * computeCapacity(giver.candidate)
   ) {
     return undefined;
   }
@@ -196,26 +197,26 @@
 
 /** The fastest target that no hot key keeps busy already. */
 function chooseFastest(
-  standings: ReadonlyMap<string, Standing>,
-  rates: RateLine,
-): Standing | undefined {
+  standings: ReadonlyMap<string, OwnerLoad>,
+  rates: KeyRateIndex,
+): OwnerLoad | undefined {
   return [...standings.values()]
     .filter((one) => {
       const perSecond = findHottest(one, rates)?.perSecond ?? 0;
-      return perSecond < HOT_SHARE * computeRate(one.candidate);
+      return perSecond < HOT_SHARE * computeCapacity(one.candidate);
     })
     .sort((left, right) =>
-      computeRate(right.candidate) - computeRate(left.candidate)
+      computeCapacity(right.candidate) - computeCapacity(left.candidate)
     )[0];
 }
 
 /** The key that an owner is asked for most; none of a range on its way. */
 function findHottest(
-  standing: Standing,
-  rates: RateLine,
+  standing: OwnerLoad,
+  rates: KeyRateIndex,
 ): CountedRate | undefined {
   let hottest: CountedRate | undefined;
-  for (const { from, to } of listStill(standing)) {
+  for (const { from, to } of listSettled(standing)) {
     for (const rate of rates.list(from, to)) {
       if (rate.perSecond > (hottest?.perSecond ?? 0)) {
         hottest = rate;
@@ -228,66 +229,79 @@
 function planRelief(
   { giver, standings, lines, average, isCrowded }: ReliefOptions,
 ): Reassignment | undefined {
-  const receiver = chooseIdlest(standings);
+  const receiver = chooseLeastUtilized(standings);
   if (giver === receiver) {
     return undefined;
   }
-  const excess = giver.busy -
-    Math.max(average, computeCalmShare(giver.candidate));
-  const room = Math.max(average, computeCalmShare(receiver.candidate)) -
-    receiver.busy;
+  const excess = giver.utilization -
+    Math.max(average, computeMaxUtilization(giver.candidate));
+  const room = Math.max(average, computeMaxUtilization(receiver.candidate)) -
+    receiver.utilization;
   const wanted = Math.min(
-    excess * computeRate(giver.candidate),
-    room * computeRate(receiver.candidate),
+    excess * computeCapacity(giver.candidate),
+    room * computeCapacity(receiver.candidate),
   );
   const rates = chooseRates(giver, lines);
-  return moveStretch({ giver, receiver, wanted, rates, isCrowded });
+  return moveSubrange({
+    source: giver,
+    destination: receiver,
+    wantedRate: wanted,
+    rates,
+    hasTooManyRanges: isCrowded,
+  });
 }
 
 /** A target that has joined and owns nothing gets half of the average at once. */
-function planForNewcomer(
-  standings: ReadonlyMap<string, Standing>,
-  rates: RateLine,
+function planForNewTarget(
+  standings: ReadonlyMap<string, OwnerLoad>,
+  rates: KeyRateIndex,
   average: number,
 ): Reassignment | undefined {
   const receiver = [...standings.values()]
     .find((one) => one.ranges.length === 0);
   const giver = [...standings.values()]
     .filter((one) => one.ranges.length > 0)
-    .sort((left, right) => right.busy - left.busy)[0];
+    .sort((left, right) => right.utilization - left.utilization)[0];
   if (receiver === undefined || giver === undefined) {
     return undefined;
   }
-  const wanted = Math.min(giver.busy / 2, average / 2) *
-    computeRate(giver.candidate);
-  return moveStretch({ giver, receiver, wanted, rates, isCrowded: false });
+  const wanted = Math.min(giver.utilization / 2, average / 2) *
+    computeCapacity(giver.candidate);
+  return moveSubrange({
+    source: giver,
+    destination: receiver,
+    wantedRate: wanted,
+    rates,
+    hasTooManyRanges: false,
+  });
 }
 
-interface StretchOptions {
-  readonly giver: Standing;
-  readonly receiver: Standing;
+interface SubrangeOptions {
+  readonly source: OwnerLoad;
+  readonly destination: OwnerLoad;
   /** Requests a second. */
-  readonly wanted: number;
-  readonly rates: RateLine;
-  readonly isCrowded: boolean;
+  readonly wantedRate: number;
+  readonly rates: KeyRateIndex;
+  readonly hasTooManyRanges: boolean;
 }
 
-function moveStretch(options: StretchOptions): Reassignment | undefined {
-  const { giver, receiver } = options;
+function moveSubrange(options: SubrangeOptions): Reassignment | undefined {
+  const { source: giver, destination: receiver } = options;
   const keys = findNarrow(options) ?? findLargest(options);
   return keys === undefined ? undefined : moveKeys({ giver, receiver, keys });
 }
 
 /** The narrowest stretch or whole range that carries most of what is wanted. */
 function findNarrow(
-  { giver, wanted, rates, isCrowded }: StretchOptions,
-): Stretch | undefined {
-  let best: Stretch | undefined;
-  for (const range of listStill(giver)) {
-    const whole = toWholeStretch(rates, range);
-    const stretch = isUseful(whole, wanted)
+  { source: giver, wantedRate: wanted, rates, hasTooManyRanges: isCrowded }:
+    SubrangeOptions,
+): Subrange | undefined {
+  let best: Subrange | undefined;
+  for (const range of listSettled(giver)) {
+    const whole = toSubrange(rates, range);
+    const stretch = isCloseToRate(whole, wanted)
       ? whole
-      : giver.isSpell
+      : giver.isHotspot
       ? findNarrowest(rates, range, wanted)
       : isCrowded
       ? undefined
@@ -304,34 +318,38 @@
  * An owner of many narrow ranges is relieved of several of them.
  */
 function findLargest(
-  { giver, wanted, rates }: StretchOptions,
-): Stretch | undefined {
-  const least = MIN_RELIEF * computeRate(giver.candidate);
-  return listStill(giver)
-    .map((range) => toWholeStretch(rates, range))
+  { source: giver, wantedRate: wanted, rates }: SubrangeOptions,
+): Subrange | undefined {
+  const least = MIN_RELIEF * computeCapacity(giver.candidate);
+  return listSettled(giver)
+    .map((range) => toSubrange(rates, range))
     .filter(({ perSecond }) => perSecond >= least && perSecond <= wanted)
     .sort((left, right) => right.perSecond - left.perSecond)[0];
 }
 
 /** The count by which an owner is busy. */
-function chooseRates({ isSpell }: Standing, lines: RateLines): RateLine {
-  return isSpell ? lines.recent : lines.usual;
+function chooseRates(
+  { isHotspot: isSpell }: OwnerLoad,
+  lines: KeyRateIndexes,
+): KeyRateIndex {
+  return isSpell ? lines.recent : lines.longTerm;
 }
 
 /** Ranges that are not on their way. */
-function listStill({ ranges }: Standing): readonly OwnedRange[] {
+function listSettled({ ranges }: OwnerLoad): readonly OwnedRange[] {
   return ranges.filter(({ former }) => former.length === 0);
 }
 
-function hasTooMuch(standing: Standing, average: number): boolean {
-  return standing.certainBusy > computeCalmShare(standing.candidate) &&
-    standing.certainBusy > MIN_EXCESS * average;
+function isOverloaded(standing: OwnerLoad, average: number): boolean {
+  return standing.utilizationLowerBound >
+      computeMaxUtilization(standing.candidate) &&
+    standing.utilizationLowerBound > MIN_EXCESS * average;
 }
 
 /**
  * The share of its places that a target may keep busy: beyond it the wait for a
  * place grows faster than the work put on it. With more places it comes later.
  */
-function computeCalmShare({ places }: OwnerCandidate): number {
-  return 1 - CALM_MARGIN / Math.sqrt(Math.max(1, places));
+function computeMaxUtilization({ places }: OwnerCandidate): number {
+  return 1 - SINGLE_PLACE_HEADROOM / Math.sqrt(Math.max(1, places));
 }
--- a/packages/ownership/src/key_planner_test.ts
+++ b/packages/ownership/src/key_planner_test.ts
@@ -10,7 +10,7 @@
   type KeyTable,
   settleRanges,
 } from "./key_table.ts";
-import type { OwnerCandidate } from "./owner_standing.ts";
+import type { OwnerCandidate } from "./owner_load.ts";
 
 const SERVICE_MS = 60;
 
--- a/packages/ownership/src/rate_line.ts
+++ b/packages/ownership/src/key_rate_index.ts
@@ -6,7 +6,7 @@
   readonly perSecond: number;
 }
 
-export class RateLine {
+export class KeyRateIndex {
   readonly #rates: readonly CountedRate[];
   /** Sum of all rates before each index. */
   readonly #before: Float64Array;
--- a/packages/ownership/src/key_table.ts
+++ b/packages/ownership/src/key_table.ts
@@ -28,12 +28,12 @@
 }
 
 /** Whether both are a target at one place, in whatever life. */
-export function isSamePlace(left: Assignee, right: Assignee): boolean {
+export function isSameEndpoint(left: Assignee, right: Assignee): boolean {
   return left.id === right.id && left.address === right.address;
 }
 
-export function isSameLife(left: Assignee, right: Assignee): boolean {
-  return isSamePlace(left, right) && left.bornMs === right.bornMs;
+export function isSameIncarnation(left: Assignee, right: Assignee): boolean {
+  return isSameEndpoint(left, right) && left.bornMs === right.bornMs;
 }
 
 export interface OwnedRange {
@@ -98,11 +98,11 @@
  */
 export function renewTokens(
   table: KeyTable,
-  getLife: (range: OwnedRange) => Assignee | undefined,
+  getIncarnation: (range: OwnedRange) => Assignee | undefined,
   token: number,
 ): KeyTable {
   const ranges = table.ranges.map((range) => {
-    const life = getLife(range);
+    const life = getIncarnation(range);
     return life === undefined
       ? range
       : { ...range, owner: createHolder(life, token) };
@@ -114,9 +114,9 @@
  * Stretches that each owner is dealt at first. Busy keys lie side by side, so
  * one stretch for each owner would leave half of all requests to a few of them.
  */
-const DEALT_PER_OWNER = 6;
+const INITIAL_RANGES_PER_OWNER = 6;
 /** Each range costs its keeper a renewal a second, whoever owns it. */
-const MAX_DEALT = 400;
+const MAX_INITIAL_RANGES = 400;
 
 /** All keys dealt out evenly, as the first table of a service. */
 export function createTable(
@@ -125,8 +125,8 @@
 ): KeyTable {
   const keys = LAST_KEY + 1;
   const perOwner = Math.min(
-    DEALT_PER_OWNER,
-    Math.max(1, Math.floor(MAX_DEALT / owners.length)),
+    INITIAL_RANGES_PER_OWNER,
+    Math.max(1, Math.floor(MAX_INITIAL_RANGES / owners.length)),
   );
   const count = Math.min(keys, perOwner * owners.length);
   const ranges = Array.from({ length: count }, (_, index) => ({
@@ -312,7 +312,7 @@
 /** A holder that becomes the owner again need not give the range up first. */
 function listFormer(range: OwnedRange, owner: Assignee): readonly Holder[] {
   return [...range.former, range.owner]
-    .filter((holder) => !isSamePlace(holder, owner));
+    .filter((holder) => !isSameEndpoint(holder, owner));
 }
 
 function createHolder(
@@ -334,7 +334,7 @@
   for (const range of ranges) {
     const last = merged.at(-1);
     if (
-      last !== undefined && isSameLife(last.owner, range.owner) &&
+      last !== undefined && isSameIncarnation(last.owner, range.owner) &&
       last.former.length === 0 && range.former.length === 0
     ) {
       const owner = { ...last.owner, token };
--- a/packages/ownership/src/merge_plan.ts
+++ b/packages/ownership/src/merge_plan.ts
@@ -6,12 +6,12 @@
  */
 import type { KeyTable, OwnedRange, Reassignment } from "./key_table.ts";
 import {
-  computeAverageBusy,
-  computeRate,
+  computeAverageUtilization,
+  computeCapacity,
+  type KeyRateIndexes,
   moveKeys,
-  type RateLines,
-  type Standing,
-} from "./owner_standing.ts";
+  type OwnerLoad,
+} from "./owner_load.ts";
 
 /** Few at a time: a merge is of use later, a move of busy keys now. */
 const MAX_MERGES = 4;
@@ -22,10 +22,10 @@
 
 export function planMerges(
   table: KeyTable,
-  standings: ReadonlyMap<string, Standing>,
-  lines: RateLines,
+  standings: ReadonlyMap<string, OwnerLoad>,
+  lines: KeyRateIndexes,
 ): readonly Reassignment[] {
-  const average = computeAverageBusy(standings);
+  const average = computeAverageUtilization(standings);
   const changes: Reassignment[] = [];
   let before: OwnedRange | undefined;
   for (const range of table.ranges) {
@@ -33,11 +33,11 @@
     const receiver = before && standings.get(before.owner.id);
     const isMergeable = giver !== undefined && receiver !== undefined &&
       giver !== receiver && before!.former.length === 0 &&
-      isStill(giver, range) && isStill(receiver, before!) &&
-      receiver.busy <= average && isIdle(range, giver, lines);
+      isUnmoved(giver, range) && isUnmoved(receiver, before!) &&
+      receiver.utilization <= average && isIdle(range, giver, lines);
     if (isMergeable) {
       const { from, to } = range;
-      const perSecond = lines.usual.computeSum(from, to);
+      const perSecond = lines.longTerm.computeSum(from, to);
       changes.push(
         moveKeys({ giver, receiver, keys: { from, to, perSecond } }),
       );
@@ -52,7 +52,7 @@
 }
 
 /** Whether the plan has not moved any of it yet. */
-function isStill(standing: Standing, range: OwnedRange): boolean {
+function isUnmoved(standing: OwnerLoad, range: OwnedRange): boolean {
   return range.former.length === 0 &&
     standing.ranges.some(({ from, to }) =>
       from === range.from && to === range.to
@@ -61,12 +61,13 @@
 
 function isIdle(
   { from, to }: OwnedRange,
-  { candidate }: Standing,
-  { usual, recent }: RateLines,
+  { candidate }: OwnerLoad,
+  { longTerm: usual, recent }: KeyRateIndexes,
 ): boolean {
   const perSecond = Math.max(
     usual.computeSum(from, to),
     recent.computeSum(from, to),
   );
-  return to - from < MAX_WIDTH && perSecond < MAX_BUSY * computeRate(candidate);
+  return to - from < MAX_WIDTH &&
+    perSecond < MAX_BUSY * computeCapacity(candidate);
 }
--- a/packages/ownership/src/orphan_plan.ts
+++ b/packages/ownership/src/orphan_plan.ts
@@ -1,35 +1,36 @@
 /** Where keys go whose owner is gone or leaving. */
 import {
-  isSamePlace,
+  isSameEndpoint,
   type KeyTable,
   type OwnedRange,
   type Reassignment,
 } from "./key_table.ts";
 import {
-  chooseIdlest,
-  computeBusy,
-  computeRate,
-  type Standing,
-} from "./owner_standing.ts";
-import type { RateLine } from "./rate_line.ts";
+  chooseLeastUtilized,
+  computeCapacity,
+  computeUtilization,
+  type OwnerLoad,
+} from "./owner_load.ts";
+import type { KeyRateIndex } from "./key_rate_index.ts";
 
 /** Ranges without a usable owner go where there is most room, piece by piece. */
 export function planOrphans(
   table: KeyTable,
-  standings: ReadonlyMap<string, Standing>,
-  rates: RateLine,
+  standings: ReadonlyMap<string, OwnerLoad>,
+  rates: KeyRateIndex,
 ): readonly Reassignment[] {
   const changes: Reassignment[] = [];
   for (const range of table.ranges) {
     const owner = standings.get(range.owner.id)?.candidate;
     // One that has started again elsewhere is not where its keys are.
-    if (owner !== undefined && isSamePlace(owner, range.owner)) {
+    if (owner !== undefined && isSameEndpoint(owner, range.owner)) {
       continue;
     }
     const pieceRate = PIECE_SHARE * computeMeanRate(standings);
     for (const piece of splitOrphan(range, rates, pieceRate)) {
-      const receiver = chooseIdlest(standings);
-      receiver.busy += computeBusy(receiver.candidate, piece.perSecond) +
+      const receiver = chooseLeastUtilized(standings);
+      receiver.utilization +=
+        computeUtilization(receiver.candidate, piece.perSecond) +
         piece.width / 1e7;
       changes.push({
         from: piece.from,
@@ -55,17 +56,17 @@
 /** A range of more keys is shared out though nobody asks for them yet. */
 const WIDE = 1_000;
 
-function computeMeanRate(standings: ReadonlyMap<string, Standing>): number {
+function computeMeanRate(standings: ReadonlyMap<string, OwnerLoad>): number {
   let sum = 0;
   for (const { candidate } of standings.values()) {
-    sum += computeRate(candidate);
+    sum += computeCapacity(candidate);
   }
   return sum / Math.max(1, standings.size);
 }
 
 function splitOrphan(
   range: OwnedRange,
-  rates: RateLine,
+  rates: KeyRateIndex,
   pieceRate: number,
 ): readonly Piece[] {
   const total = rates.computeSum(range.from, range.to);
--- a/packages/ownership/src/keeper_standing.ts
+++ b/packages/ownership/src/partition_state.ts
@@ -10,7 +10,7 @@
 } from "./keeper_records.ts";
 import { type KeyTable, parseTable } from "./key_table.ts";
 
-export interface Standing {
+export interface PartitionState {
   /** Offset of the newest claim; undefined where nobody has claimed yet. */
   readonly term: number | undefined;
   readonly claim: KeeperClaim | undefined;
@@ -24,10 +24,10 @@
   readonly faults: readonly string[];
 }
 
-export function parseStanding(
+export function parsePartitionState(
   records: readonly StoreRecord[],
   end: number,
-): Standing {
+): PartitionState {
   const tables = new Map<string, KeyTable>();
   const faults: string[] = [];
   let term: number | undefined;
--- a/packages/ownership/src/stretch_choice.ts
+++ b/packages/ownership/src/subrange_selection.ts
@@ -1,39 +1,43 @@
 /** Which stretch of an owner's keys carries about a wanted part of its load. */
 import type { OwnedRange } from "./key_table.ts";
-import type { CountedRate, RateLine } from "./rate_line.ts";
+import type { CountedRate, KeyRateIndex } from "./key_rate_index.ts";
 
 /** A stretch that carries less than this share of what is wanted is no help. */
-const MIN_PART = 0.4;
-export interface Stretch {
+const MIN_RATE_SHARE = 0.4;
+export interface Subrange {
   readonly from: number;
   readonly to: number;
   readonly perSecond: number;
 }
 
-export function isNarrower(left: Stretch, right: Stretch | undefined): boolean {
+export function isNarrower(
+  left: Subrange,
+  right: Subrange | undefined,
+): boolean {
   return right === undefined || left.to - left.from < right.to - right.from;
 }
 
 /** A whole range, moved as it is: that makes no new ranges. */
-export function toWholeStretch(
-  rates: RateLine,
+export function toSubrange(
+  rates: KeyRateIndex,
   { from, to }: OwnedRange,
-): Stretch {
+): Subrange {
   return { from, to, perSecond: rates.computeSum(from, to) };
 }
 
 /** Whether a stretch carries most of what is wanted, and not more. */
-export function isUseful(stretch: Stretch, wanted: number): boolean {
-  return stretch.perSecond >= MIN_PART * wanted && stretch.perSecond <= wanted;
+export function isCloseToRate(stretch: Subrange, wanted: number): boolean {
+  return stretch.perSecond >= MIN_RATE_SHARE * wanted &&
+    stretch.perSecond <= wanted;
 }
 
 /** The narrowest stretch of a range that carries about `wanted`. */
 export function findNarrowest(
-  rates: RateLine,
+  rates: KeyRateIndex,
   range: OwnedRange,
   wanted: number,
-): Stretch | undefined {
-  let best: Stretch | undefined;
+): Subrange | undefined {
+  let best: Subrange | undefined;
   let sum = 0;
   let first = 0;
   const within = rates.list(range.from, range.to);
@@ -48,7 +52,7 @@
       to: rate.key,
       perSecond: sum,
     };
-    if (isUseful(stretch, wanted) && isBetter(stretch, best)) {
+    if (isCloseToRate(stretch, wanted) && isBetter(stretch, best)) {
       best = stretch;
     }
   }
@@ -63,10 +67,10 @@
  * left with twice the work that they could do in time.
  */
 export function findEdge(
-  rates: RateLine,
+  rates: KeyRateIndex,
   range: OwnedRange,
   wanted: number,
-): Stretch | undefined {
+): Subrange | undefined {
   const within = rates.list(range.from, range.to);
   const first = takeUpTo(within, wanted);
   const last = takeUpTo([...within].reverse(), wanted);
@@ -75,7 +79,7 @@
     { from: last.key, to: range.to, perSecond: last.perSecond },
   ];
   return edges
-    .filter(({ perSecond }) => perSecond >= MIN_PART * wanted)
+    .filter(({ perSecond }) => perSecond >= MIN_RATE_SHARE * wanted)
     .filter((edge) => edge.from <= edge.to)
     .sort((left, right) => right.perSecond - left.perSecond)[0];
 }
@@ -98,7 +102,7 @@
 }
 
 /** More load a key first: the hottest part of the range. */
-function isBetter(left: Stretch, right: Stretch | undefined): boolean {
+function isBetter(left: Subrange, right: Subrange | undefined): boolean {
   return right === undefined ||
     left.perSecond / (left.to - left.from + 1) >
       right.perSecond / (right.to - right.from + 1);
--- a/packages/ownership/src/table_planner.ts
+++ b/packages/ownership/src/table_planner.ts
@@ -10,16 +10,16 @@
 import {
   applyReassignments,
   createTable,
-  isSameLife,
+  isSameIncarnation,
   type KeyTable,
   renewTokens,
   settleRanges,
 } from "./key_table.ts";
-import type { OwnerCandidate } from "./owner_standing.ts";
-import type { RangeKeeper } from "./range_keeper.ts";
+import type { OwnerCandidate } from "./owner_load.ts";
+import type { TableReconciler } from "./table_reconciler.ts";
 
 /** What a keeper needs to know of one service. */
-export interface ServiceFacts {
+export interface ServiceSnapshot {
   readonly service: string;
   /** Targets that may own keys. */
   readonly candidates: readonly OwnerCandidate[];
@@ -27,15 +27,15 @@
 }
 
 /** How things stand with a service when its next table is planned. */
-export interface PlanBasis {
+export interface PlanInput {
   /** Undefined where there is none yet. */
   readonly table: KeyTable | undefined;
   /** Whoever carries that table out. */
-  readonly keeper: RangeKeeper | undefined;
+  readonly reconciler: TableReconciler | undefined;
   /** Of what the next table assigns. */
   readonly token: number;
   /** Whether owners that have too much are relieved as well. */
-  readonly balances: boolean;
+  readonly rebalance: boolean;
 }
 
 export interface PlannedTable {
@@ -45,7 +45,7 @@
 }
 
 /** Targets of a service without a table, and since when there are so many. */
-interface Arrival {
+interface TargetCount {
   readonly count: number;
   readonly sinceMs: number;
 }
@@ -53,7 +53,7 @@
 export class TablePlanner {
   readonly #clock: Clock;
   readonly #timing: KeeperTiming;
-  readonly #arrivals = new Map<string, Arrival>();
+  readonly #targetCounts = new Map<string, TargetCount>();
 
   constructor(clock: Clock, timing: KeeperTiming) {
     this.#clock = clock;
@@ -61,24 +61,26 @@
   }
 
   /** Undefined where nothing is to be changed. */
-  plan(facts: ServiceFacts, basis: PlanBasis): PlannedTable | undefined {
-    const { keeper, token, balances } = basis;
+  plan(facts: ServiceSnapshot, basis: PlanInput): PlannedTable | undefined {
+    const { reconciler: keeper, token, rebalance: balances } = basis;
     const candidates = facts.candidates
       .filter((candidate) => keeper?.isUnusable(candidate) !== true);
     if (basis.table === undefined) {
-      return candidates.length === 0 || !this.#mayDeal(facts) ? undefined : {
-        table: createTable(candidates, token),
-        changes: candidates.length,
-      };
+      return candidates.length === 0 || !this.#mayCreateTable(facts)
+        ? undefined
+        : {
+          table: createTable(candidates, token),
+          changes: candidates.length,
+        };
     }
     // As it stands at the targets: some moves of it may have ended.
     const table = settleRanges(
       basis.table,
       (range) => keeper?.isSettled(range) === true,
     );
-    const renewed = renewOutworn(table, candidates, basis);
+    const renewed = renewStaleTokens(table, candidates, basis);
     const changes = planReassignments(table, candidates, facts.rates, {
-      balances,
+      rebalance: balances,
     });
     return changes.length === 0 && renewed === table ? undefined : {
       table: applyReassignments(renewed, changes, token),
@@ -90,14 +92,14 @@
    * Whether all targets seem to be there, or keys are asked for already. Dealt
    * to the first target that registers, all keys would have to move again.
    */
-  #mayDeal({ service, candidates, rates }: ServiceFacts): boolean {
+  #mayCreateTable({ service, candidates, rates }: ServiceSnapshot): boolean {
     const nowMs = this.#clock.readMs();
     const count = candidates.length;
-    const known = this.#arrivals.get(service);
+    const known = this.#targetCounts.get(service);
     const arrival = known?.count === count ? known : { count, sinceMs: nowMs };
-    this.#arrivals.set(service, arrival);
+    this.#targetCounts.set(service, arrival);
     return rates.length > 0 ||
-      nowMs - arrival.sinceMs >= this.#timing.dealAfterMs;
+      nowMs - arrival.sinceMs >= this.#timing.distributeAfterMs;
   }
 }
 
@@ -106,10 +108,10 @@
  * old ones. Failure: a target is killed and starts again under its id, and a
  * renewal gives the new life keys under the token of the one before.
  */
-function renewOutworn(
+function renewStaleTokens(
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
-  { keeper, token }: PlanBasis,
+  { reconciler: keeper, token }: PlanInput,
 ): KeyTable {
   const lives = new Map(candidates.map((one) => [one.id, one]));
   let hasRenewed = false;
@@ -118,7 +120,10 @@
     if (life === undefined || life.address !== range.owner.address) {
       return undefined;
     }
-    if (isSameLife(life, range.owner) && keeper?.isOutworn(range) !== true) {
+    if (
+      isSameIncarnation(life, range.owner) &&
+      keeper?.hasStaleToken(range) !== true
+    ) {
       return undefined;
     }
     hasRenewed = true;
--- a/packages/ownership/src/range_keeper.ts
+++ b/packages/ownership/src/table_reconciler.ts
@@ -15,7 +15,11 @@
   type OrderReceiver,
 } from "@lentilspur/ports/key_orders";
 import type { Clock } from "@lentilspur/ports/clock";
-import { computeHoldEndMs, type GrantRecord, HoldBook } from "./hold_book.ts";
+import {
+  computeHoldEndMs,
+  type GrantRecord,
+  HoldTracker,
+} from "./hold_tracker.ts";
 import type { Assignee, Holder, KeyTable, OwnedRange } from "./key_table.ts";
 import type { KeeperTiming } from "./keeper_timing.ts";
 
@@ -38,7 +42,7 @@
   readonly isClean: boolean;
 }
 
-export interface RangeKeeperOptions {
+export interface TableReconcilerOptions {
   readonly clock: Clock;
   readonly orders: KeyOrders;
   readonly timing: KeeperTiming;
@@ -62,8 +66,8 @@
 interface RangeState {
   range: OwnedRange;
   granted: boolean;
-  busy: boolean;
-  nextAtMs: number;
+  orderInFlight: boolean;
+  nextOrderAtMs: number;
   /** Former holders that have answered a release, and when. */
   readonly released: Map<string, number>;
   handover: string | undefined;
@@ -72,7 +76,7 @@
 }
 
 /** A target's orders have failed all the while. */
-interface Silence {
+interface FailureStreak {
   readonly sinceMs: number;
   readonly lastMs: number;
 }
@@ -82,18 +86,18 @@
  * one that could not be reached once would own nothing for good; more often, and
  * one that never answers costs its new keys 1.2 s each time.
  */
-const SILENCE_VALID_MS = 10_000;
+const FAILURE_STREAK_VALID_MS = 10_000;
 
-export class RangeKeeper {
-  readonly #options: RangeKeeperOptions;
-  readonly #holds = new HoldBook();
+export class TableReconciler {
+  readonly #options: TableReconcilerOptions;
+  readonly #holds = new HoldTracker();
   /** Lives of targets that another process has taken the place of. */
   readonly #ended = new Set<string>();
-  readonly #silences = new Map<string, Silence>();
+  readonly #failureStreaks = new Map<string, FailureStreak>();
   /** By the name of the range, in the order of keys. */
   #states: ReadonlyMap<string, RangeState> = new Map();
 
-  constructor(options: RangeKeeperOptions) {
+  constructor(options: TableReconcilerOptions) {
     this.#options = options;
   }
 
@@ -120,9 +124,9 @@
    * under a token that the life before had; and nobody but the keeper that drew
    * a token knows in which session it was sent.
    */
-  isOutworn(range: OwnedRange): boolean {
+  hasStaleToken(range: OwnedRange): boolean {
     const state = this.#states.get(formatRange(range));
-    return state !== undefined && this.#isOutworn(state);
+    return state !== undefined && this.#hasStaleToken(state);
   }
 
   /** Whether a grant of this keeper may still be carried out unseen. */
@@ -132,12 +136,13 @@
 
   /** Whether a target has not answered orders for a while, or has ended. */
   isUnusable(target: Assignee): boolean {
-    const life = formatLife(target);
-    const silence = this.#silences.get(life);
+    const life = formatAssigneeKey(target);
+    const silence = this.#failureStreaks.get(life);
     const nowMs = this.#options.clock.readMs();
     return this.#ended.has(life) ||
-      (silence !== undefined && nowMs - silence.lastMs < SILENCE_VALID_MS &&
-        nowMs - silence.sinceMs >= this.#options.timing.silentAfterMs);
+      (silence !== undefined &&
+        nowMs - silence.lastMs < FAILURE_STREAK_VALID_MS &&
+        nowMs - silence.sinceMs >= this.#options.timing.unresponsiveAfterMs);
   }
 
   /** Sends every order that is due. Call it often. */
@@ -145,20 +150,20 @@
     const nowMs = this.#options.clock.readMs();
     this.#holds.expire(nowMs);
     for (const state of this.#states.values()) {
-      if (!state.busy && nowMs >= state.nextAtMs) {
+      if (!state.orderInFlight && nowMs >= state.nextOrderAtMs) {
         this.#advanceRange(state, nowMs);
       }
     }
   }
 
-  #isOutworn({ range, session }: RangeState): boolean {
+  #hasStaleToken({ range, session }: RangeState): boolean {
     return range.owner.token <= this.#options.inheritedToken ||
       (session !== undefined &&
         session !== this.#options.orders.getSession(toReceiver(range.owner)));
   }
 
   #advanceRange(state: RangeState, nowMs: number): void {
-    if (this.#isOutworn(state)) {
+    if (this.#hasStaleToken(state)) {
       return;
     }
     if (state.granted) {
@@ -179,15 +184,17 @@
     if (!this.#options.mayAct()) {
       return;
     }
-    state.busy = true;
+    state.orderInFlight = true;
     try {
       await act();
     } finally {
-      state.busy = false;
+      state.orderInFlight = false;
     }
     // The next order of a move follows at once: a key has no owner meanwhile.
     const nowMs = this.#options.clock.readMs();
-    if (!state.granted && nowMs >= state.nextAtMs && this.#isPresent(state)) {
+    if (
+      !state.granted && nowMs >= state.nextOrderAtMs && this.#isPresent(state)
+    ) {
       this.#advanceRange(state, nowMs);
     }
   }
@@ -199,7 +206,10 @@
 
   #isClear(state: RangeState, holder: Holder, nowMs: number): boolean {
     const { range } = state;
-    if (this.#ended.has(formatLife(holder)) || this.#options.hasEnded(holder)) {
+    if (
+      this.#ended.has(formatAssigneeKey(holder)) ||
+      this.#options.hasEnded(holder)
+    ) {
       return true;
     }
     if (nowMs >= this.#computeHoldEndMs(holder, range)) {
@@ -254,9 +264,9 @@
     const receiver = toReceiver(range.owner);
     state.session ??= orders.getSession(receiver);
     const sentAtMs = clock.readMs();
-    state.nextAtMs = sentAtMs + timing.renewEveryMs;
+    state.nextOrderAtMs = sentAtMs + timing.renewIntervalMs;
     const record = this.#holds.recordSent(range.owner.id, range, {
-      givenUpAtMs: sentAtMs + timing.orderTimeoutMs,
+      timeoutAtMs: sentAtMs + timing.orderTimeoutMs,
       holdMs: timing.holdMs,
     });
     const outcome = await orders.grant(receiver, {
@@ -273,7 +283,7 @@
     if (outcome.kind === "done") {
       this.#recordGranted(state);
     } else {
-      state.nextAtMs = clock.readMs() + timing.retryEveryMs;
+      state.nextOrderAtMs = clock.readMs() + timing.retryIntervalMs;
     }
     this.#reportOrder(order, state, { holder: range.owner, outcome, sentAtMs });
   }
@@ -300,17 +310,17 @@
       state.released.set(holder.id, clock.readMs());
       state.handover = outcome.handover ?? state.handover;
     } else {
-      state.nextAtMs = clock.readMs() + timing.retryEveryMs;
+      state.nextOrderAtMs = clock.readMs() + timing.retryIntervalMs;
     }
     this.#reportOrder("release", state, { holder, outcome, sentAtMs });
   }
 
   #recordOutcome(holder: Holder, outcome: OrderOutcome): void {
-    const life = formatLife(holder);
+    const life = formatAssigneeKey(holder);
     const nowMs = this.#options.clock.readMs();
     switch (outcome.kind) {
       case "done":
-        this.#silences.delete(life);
+        this.#failureStreaks.delete(life);
         return;
       case "superseded":
         this.#options.onSuperseded();
@@ -322,8 +332,8 @@
         return;
       case "unsent":
       case "unanswered":
-        this.#silences.set(life, {
-          sinceMs: this.#silences.get(life)?.sinceMs ?? nowMs,
+        this.#failureStreaks.set(life, {
+          sinceMs: this.#failureStreaks.get(life)?.sinceMs ?? nowMs,
           lastMs: nowMs,
         });
         return;
@@ -366,8 +376,8 @@
   return {
     range,
     granted,
-    busy: false,
-    nextAtMs: granted ? whole.nextAtMs : -Infinity,
+    orderInFlight: false,
+    nextOrderAtMs: granted ? whole.nextOrderAtMs : -Infinity,
     released: whole === undefined ? new Map() : listReleased(range, whole),
     // What a former holder gave is good until an owner has taken it.
     handover: whole?.granted === false ? whole.handover : undefined,
@@ -434,7 +444,7 @@
   return `${range.from}-${range.to}:${range.owner.id}:${range.owner.token}`;
 }
 
-function formatLife({ id, address, bornMs }: Assignee): string {
+function formatAssigneeKey({ id, address, bornMs }: Assignee): string {
   return `${id} ${address} ${bornMs ?? ""}`;
 }
 
