--- a/packages/cli/src/publish_test.ts
+++ b/packages/cli/src/publish_test.ts
@@ -100,10 +100,10 @@
   // operator who is told "failed" would publish again; told is the truth.
   const platform = new FakePlatform();
   const terminal = new Terminal(platform);
-  platform.store.setMood("terminal", "losing-answers");
+  platform.store.setFaultMode("terminal", "losing-answers");
   const running = terminal.publish(makeDirectory(), "--expect-version=0");
   void platform.clock.sleep(1_500)
-    .then(() => platform.store.setMood("terminal", "serving"));
+    .then(() => platform.store.setFaultMode("terminal", "serving"));
   const code = await running;
   assert.equal(code, EXIT_CODES.done);
   assert.equal(platform.recordCount, 1);
@@ -231,7 +231,7 @@
   const code = await terminal.publish(makeDirectory(), "--expect-version=0");
   assert.equal(code, EXIT_CODES.unavailable);
   terminal.link = link;
-  platform.store.setMood("terminal", "silent");
+  platform.store.setFaultMode("terminal", "silent");
   const again = await terminal.publish(makeDirectory(), "--expect-version=0");
   assert.equal(again, EXIT_CODES.unavailable);
   assert.equal(platform.recordCount, 0);
@@ -272,7 +272,7 @@
 
 test("asks named instances while the store is down", async () => {
   const terminal = new Terminal(new FakePlatform());
-  terminal.platform.store.setMood("terminal", "silent");
+  terminal.platform.store.setFaultMode("terminal", "silent");
   terminal.versions.set("a", 4).set("b", 3);
   const asked = ["--instance=a:1", "--instance=b:1"];
   assert.equal(await terminal.run("status", ...asked), EXIT_CODES.lagging);
--- a/packages/gateway/src/entry/account_demands.ts
+++ b/packages/gateway/src/entry/account_demands.ts
@@ -10,7 +10,7 @@
 import { sleepUntilTick } from "@lentilspur/ports/tick";
 import type {
   AccountLimiter,
-  OwnDemand,
+  InstanceDemand,
 } from "@lentilspur/routing/account_limiter";
 import type { AccountGate } from "./account_gate.ts";
 import type { Member } from "../members/members.ts";
@@ -34,7 +34,7 @@
 const MAX_DEMANDS = 16;
 
 interface PeerDemand {
-  readonly demands: readonly OwnDemand[];
+  readonly demands: readonly InstanceDemand[];
   readonly atMs: number;
 }
 
@@ -84,7 +84,7 @@
           one.clientAccount === clientAccount && one.service === service
         )?.perSecond ?? 0
       );
-      limiter.applyPeerDemand(clientAccount, service, peerDemands, nowMs);
+      limiter.setPeerDemands(clientAccount, service, peerDemands, nowMs);
     }
   }
 }
--- a/packages/gateway/src/entry/account_gate.ts
+++ b/packages/gateway/src/entry/account_gate.ts
@@ -11,14 +11,14 @@
   ClientAccount,
 } from "@lentilspur/ports/routing_table";
 import { AccountLimiter } from "@lentilspur/routing/account_limiter";
-import type { Share } from "@lentilspur/routing/fair_order";
+import type { AccountShare } from "@lentilspur/routing/fair_scheduler";
 
 export type Admission =
   | { readonly kind: "open" }
   | {
     readonly kind: "admitted";
     readonly service: string;
-    readonly share: Share;
+    readonly share: AccountShare;
   }
   | {
     readonly kind: "refused";
@@ -73,7 +73,7 @@
     }
     const nowMs = this.#clock.readMs();
     const decision = this.limiter
-      .offer(account.name, service, allowance, nowMs);
+      .admit(account.name, service, allowance, nowMs);
     if (decision.kind === "refused") {
       return {
         ...refuse("account-over-limit", `Limited to ${decision.limit}`),
--- a/packages/gateway/src/entry/caller_request.ts
+++ b/packages/gateway/src/entry/caller_request.ts
@@ -1,7 +1,7 @@
 /** A caller's request as this instance handles it, and the final answer to it. */
 import type { ErrorKind } from "@lentilspur/outcomes/error_kinds";
 import type { HeaderField } from "@lentilspur/ports/header_field";
-import type { TargetAnswer } from "@lentilspur/ports/request_sender";
+import type { TargetResponse } from "@lentilspur/ports/request_sender";
 
 /** Fields that callers send in headers; the adapter knows under which names. */
 export interface CallerFields {
@@ -30,7 +30,7 @@
 }
 
 export type FinalResponse =
-  | (TargetAnswer & { readonly kind: "answered" })
+  | (TargetResponse & { readonly kind: "answered" })
   | {
     readonly kind: "failed";
     readonly failure: ErrorKind;
--- a/packages/gateway/src/entry/request_server.ts
+++ b/packages/gateway/src/entry/request_server.ts
@@ -13,7 +13,7 @@
 import type { HeaderField } from "@lentilspur/ports/header_field";
 import type { Clock } from "@lentilspur/ports/clock";
 import {
-  ERROR_ANSWERS,
+  ERROR_RESPONSES,
   type ErrorKind,
 } from "@lentilspur/outcomes/error_kinds";
 import type {
@@ -208,7 +208,7 @@
     requestId: string | undefined,
     failure: ErrorKind,
   ): FinalResponse & { readonly kind: "failed" } {
-    const message = ERROR_ANSWERS[failure].advice;
+    const message = ERROR_RESPONSES[failure].advice;
     this.#options.reportFailure({ requestId, kind: failure, message });
     return { kind: "failed", failure, message };
   }
@@ -297,7 +297,7 @@
     response.end();
     return;
   }
-  if (answer.isFramed) {
+  if (answer.isSelfDelimited) {
     response.setHeader("Content-Length", answer.body.byteLength);
   } else {
     writeUnframedHead(response);
@@ -322,7 +322,7 @@
   response: ServerResponse,
 ): void {
   const { failure: kind, message, retryAfterMs } = answer;
-  const { status, ...told } = ERROR_ANSWERS[kind];
+  const { status, ...told } = ERROR_RESPONSES[kind];
   const error = { kind, message, ...told, retryAfterMs, requestId };
   const body = Buffer.from(JSON.stringify({ error }));
   response.setHeader(OUTCOME, told.outcome);
--- a/packages/gateway/src/entry/request_server_test.ts
+++ b/packages/gateway/src/entry/request_server_test.ts
@@ -10,7 +10,7 @@
   status: 200,
   headers: [{ name: "x-signature", value: "s" }],
   body: Buffer.from("half of it"),
-  isFramed: true,
+  isSelfDelimited: true,
 };
 
 /** Writes `text` on one connection and gives all that comes back until it ends. */
@@ -48,7 +48,10 @@
   // order. Passed on with the length of what came, half a case file would look
   // like all of it.
   const text = "GET / HTTP/1.1\r\nHost: a\r\nx-id: 1\r\n\r\n";
-  const received = await sendRaw(text, () => ({ ...WHOLE, isFramed: false }));
+  const received = await sendRaw(
+    text,
+    () => ({ ...WHOLE, isSelfDelimited: false }),
+  );
   const [head = "", body] = received.split("\r\n\r\n");
   assert.equal(body, "half of it");
   assert.doesNotMatch(head, /content-length|transfer-encoding/i);
--- a/packages/gateway/src/gateway_settings.ts
+++ b/packages/gateway/src/gateway_settings.ts
@@ -1,5 +1,5 @@
 /** What an instance is told at its start; resolved and frozen. */
-import type { RetryLimits } from "@lentilspur/routing/retry_allowance";
+import type { RetryLimits } from "@lentilspur/routing/retry_budget";
 
 export interface ResolvedGatewaySettings {
   readonly instance: string;
--- a/packages/gateway/src/instance_options.ts
+++ b/packages/gateway/src/instance_options.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Result } from "@lentilspur/outcomes/result";
 import type { HeaderField } from "@lentilspur/ports/header_field";
-import type { KeyOrders } from "@lentilspur/ports/key_orders";
+import type { KeyOrderSender } from "@lentilspur/ports/key_orders";
 import type { RequestSender } from "@lentilspur/ports/request_sender";
 import type {
   RoutingTable,
@@ -18,7 +18,7 @@
 /** What an adapter brings: calls, and how its messages are read. */
 export interface InstanceAdapter {
   readonly store: Store;
-  readonly orders: KeyOrders;
+  readonly orders: KeyOrderSender;
   readonly sender: RequestSender;
   readonly places: StorePlaces;
   readonly readFields: (headers: readonly HeaderField[]) => CallerFields;
--- a/packages/gateway/src/keeper/keeper_service.ts
+++ b/packages/gateway/src/keeper/keeper_service.ts
@@ -8,7 +8,7 @@
  * it stops, says so in the partition, and the next need not wait for it.
  */
 import type { Clock } from "@lentilspur/ports/clock";
-import type { KeyOrders } from "@lentilspur/ports/key_orders";
+import type { KeyOrderSender } from "@lentilspur/ports/key_orders";
 import type { Partition, Store, StoreRecord } from "@lentilspur/ports/store";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
 import {
@@ -70,7 +70,7 @@
 export interface KeeperServiceOptions {
   readonly clock: Clock;
   readonly store: Store;
-  readonly orders: KeyOrders;
+  readonly orders: KeyOrderSender;
   readonly timing: KeeperTiming;
   readonly claim: KeeperClaim;
   readonly topic: string;
--- a/packages/gateway/src/keeper/keeper_service_test.ts
+++ b/packages/gateway/src/keeper/keeper_service_test.ts
@@ -73,7 +73,7 @@
   // whether the keeper still acts, and had to wait 20 s for that besides a hold;
   // a quarter of all requests were refused meanwhile. The keeper can be asked.
   const { world, keeper } = await startThree();
-  world.store.setMood(keeper, "silent");
+  world.store.setFaultMode(keeper, "silent");
   await world.clock.advance(3_500);
   const successor = world.findKeeper();
   assert.ok(successor !== undefined && successor !== keeper);
@@ -87,11 +87,11 @@
 test("a keeper that the store answers again does not claim on its old share", async () => {
   for (let silentMs = 4_000; silentMs < 5_000; silentMs += 100) {
     const { world, keeper } = await startThree();
-    world.store.setMood(keeper, "silent");
+    world.store.setFaultMode(keeper, "silent");
     await world.clock.advance(silentMs);
     assert.notEqual(world.findKeeper(), keeper);
     const before = world.events.length;
-    world.store.setMood(keeper, "serving");
+    world.store.setFaultMode(keeper, "serving");
     await world.clock.advance(5_000);
     const forced = world.events.slice(before).filter((event) =>
       event.kind === "claimed" && event.predecessor !== "resigned"
@@ -129,13 +129,13 @@
   const { world, keeper } = await startThree();
   const names = ["one", "two", "three"];
   const others = names.filter((name) => name !== keeper);
-  names.forEach((name) => world.store.setMood(name, "silent"));
+  names.forEach((name) => world.store.setFaultMode(name, "silent"));
   [...others, keeper].forEach((name) => world.start(name));
   names.forEach((name) => world.setPeers(name, false));
   names.forEach((name) => world.setReach(name, "c", false));
   world.setCandidates(["a", "b"]);
   await world.clock.advance(3_000);
-  others.forEach((name) => world.store.setMood(name, "serving"));
+  others.forEach((name) => world.store.setFaultMode(name, "serving"));
   const movedMs = await waitForMove(world, { target: "c", mostMs: 30_000 });
   assert.ok(movedMs <= 12_000, `moved after ${movedMs} ms`);
   assert.deepEqual(world.holders.listOverlaps(), []);
@@ -145,7 +145,7 @@
   // Nobody can reach the store, so nobody can claim: all let the keeper go on.
   const { world } = await startThree();
   for (const name of ["one", "two", "three"]) {
-    world.store.setMood(name, "silent");
+    world.store.setFaultMode(name, "silent");
   }
   for (let elapsedMs = 0; elapsedMs < 40_000; elapsedMs += STEP_MS) {
     await world.clock.advance(STEP_MS);
@@ -161,7 +161,7 @@
   // The keeper is cut from the store and from all instances, but not from the
   // targets, and goes on renewing. Its successor cannot reach target "a".
   const { world, keeper } = await startThree();
-  world.store.setMood(keeper, "silent");
+  world.store.setFaultMode(keeper, "silent");
   world.setPeers(keeper, false);
   for (const name of ["one", "two", "three"]) {
     if (name !== keeper) {
@@ -178,7 +178,7 @@
   // killed. The third knows that the second has ended, and must not take the
   // first one's grants to have run out with it.
   const { world, keeper } = await startThree();
-  world.store.setMood(keeper, "silent");
+  world.store.setFaultMode(keeper, "silent");
   world.setPeers(keeper, false);
   ["one", "two", "three"].filter((name) => name !== keeper)
     .forEach((name) => world.setReach(name, "a", false));
@@ -202,15 +202,15 @@
   await world.clock.advance(6_000);
   world.start("two");
   await world.clock.advance(3_000);
-  world.store.setMood("one", "silent");
+  world.store.setFaultMode("one", "silent");
   await world.clock.advance(6_000);
-  world.store.setMood("one", "serving");
+  world.store.setFaultMode("one", "serving");
   await world.clock.advance(2_000);
-  world.store.setMood("two", "silent");
+  world.store.setFaultMode("two", "silent");
   await world.clock.advance(6_000);
   world.setPeers("one", false);
-  world.store.setMood("one", "silent");
-  world.store.setMood("two", "serving");
+  world.store.setFaultMode("one", "silent");
+  world.store.setFaultMode("two", "serving");
   world.setReach("two", "a", false);
   world.setCandidates(["b"]);
   await world.clock.advance(15_000);
@@ -223,14 +223,14 @@
   // unserved until the store is back and another has claimed.
   const { world, keeper } = await startThree();
   for (const name of ["one", "two", "three"]) {
-    world.store.setMood(name, "silent");
+    world.store.setFaultMode(name, "silent");
   }
   await world.clock.advance(3_000);
   void world.leave(keeper);
   for (let elapsedMs = 0; elapsedMs < 8_000; elapsedMs += STEP_MS) {
     if (elapsedMs === 5_000) {
       ["one", "two", "three"]
-        .forEach((name) => world.store.setMood(name, "serving"));
+        .forEach((name) => world.store.setFaultMode(name, "serving"));
     }
     await world.clock.advance(STEP_MS);
     assert.ok(
--- a/packages/gateway/src/keeper/keeper_steps.ts
+++ b/packages/gateway/src/keeper/keeper_steps.ts
@@ -1,6 +1,6 @@
 /** What can happen to the world of keepers, step by step: for fuzz and replay. */
-import type { HolderMood } from "@lentilspur/ports/fake_key_holders";
-import type { StoreMood } from "@lentilspur/ports/fake_store";
+import type { HolderFaultMode } from "@lentilspur/ports/fake_key_holders";
+import type { StoreFaultMode } from "@lentilspur/ports/fake_store";
 import type { KeeperWorld } from "./keeper_world.ts";
 
 export const KEEPER_INSTANCES = ["one", "two", "three"] as const;
@@ -12,7 +12,7 @@
   | {
     readonly kind: "store";
     readonly instance: string;
-    readonly mood: StoreMood;
+    readonly mood: StoreFaultMode;
   }
   | {
     /** Whether its datagrams reach the others, and theirs it. */
@@ -23,7 +23,7 @@
   | {
     readonly kind: "target";
     readonly target: string;
-    readonly mood: HolderMood;
+    readonly mood: HolderFaultMode;
   }
   | {
     readonly kind: "reach";
@@ -56,13 +56,13 @@
       void world.leave(one.instance);
       return;
     case "store":
-      world.store.setMood(one.instance, one.mood);
+      world.store.setFaultMode(one.instance, one.mood);
       return;
     case "peers":
       world.setPeers(one.instance, one.reaches);
       return;
     case "target":
-      world.holders.setMood(one.target, one.mood);
+      world.holders.setFaultMode(one.target, one.mood);
       return;
     case "reach":
       world.setReach(one.instance, one.target, one.reaches);
--- a/packages/gateway/src/peers/peer_message.ts
+++ b/packages/gateway/src/peers/peer_message.ts
@@ -1,6 +1,6 @@
 /** What instances tell each other in datagrams. All of it is a hint. */
-import type { OwnDemand } from "@lentilspur/routing/account_limiter";
-import type { QuotaDecision } from "@lentilspur/routing/paced_quota";
+import type { InstanceDemand } from "@lentilspur/routing/account_limiter";
+import type { PermitDecision } from "@lentilspur/routing/request_pacer";
 import type { SuspectReport } from "@lentilspur/routing/crash_suspects";
 import type { Piece } from "./datagram_pieces.ts";
 import type { KeeperMessage } from "../keeper/keeper_peers.ts";
@@ -104,7 +104,7 @@
     readonly kind: "demand";
     readonly from: string;
     /** What it sees of client accounts, the busiest of them. */
-    readonly demands: readonly OwnDemand[];
+    readonly demands: readonly InstanceDemand[];
   }
   | {
     /** Requests under which targets have crashed. */
@@ -142,5 +142,5 @@
     readonly kind: "quota";
     readonly from: string;
     readonly number: number;
-    readonly decision: QuotaDecision;
+    readonly decision: PermitDecision;
   };
--- a/packages/gateway/src/peers/peer_message_check.ts
+++ b/packages/gateway/src/peers/peer_message_check.ts
@@ -1,5 +1,5 @@
 /** Whether what came in a datagram is one of the messages, whole and of its types. */
-import type { QuotaDecision } from "@lentilspur/routing/paced_quota";
+import type { PermitDecision } from "@lentilspur/routing/request_pacer";
 import type { SuspectReport } from "@lentilspur/routing/crash_suspects";
 import type { Piece } from "./datagram_pieces.ts";
 import type { PeerMessage, PeerStanding } from "./peer_message.ts";
@@ -105,7 +105,7 @@
     (limit.perSecond === null || Number.isFinite(limit.perSecond));
 }
 
-function isDecision(decision: QuotaDecision | null): boolean {
+function isDecision(decision: PermitDecision | null): boolean {
   if (decision === null || typeof decision !== "object") {
     return false;
   }
--- a/packages/gateway/src/requests/cold_targets_test.ts
+++ b/packages/gateway/src/requests/cold_targets_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { countMostWithin } from "@lentilspur/ports/window_count";
+import { countMaxInWindow } from "@lentilspur/ports/window_count";
 import { DOZEN, listInstances, sendLoad } from "./request_load.ts";
 import { RequestWorld, type RequestWorldOptions } from "./request_world.ts";
 
@@ -27,7 +27,7 @@
 }
 
 function assertHeld(world: RequestWorld, id = "t1"): void {
-  const most = countMostWithin(listTimes(world, id), 1_000);
+  const most = countMaxInWindow(listTimes(world, id), 1_000);
   assert.ok(most <= ALLOWED, `${most} in a second, allowed ${ALLOWED}`);
 }
 
--- a/packages/gateway/src/requests/request_quarantine.ts
+++ b/packages/gateway/src/requests/request_quarantine.ts
@@ -6,14 +6,23 @@
  * from this instance's sends and from the targets' entries; the crashes are told
  * to all instances at once, and told again until everybody has heard of them.
  */
-import { isServed, type SendOutcome } from "@lentilspur/ports/request_sender";
-import { type BrokenSend, BrokenSends } from "@lentilspur/routing/broken_sends";
+import {
+  isSuccessful,
+  type SendOutcome,
+} from "@lentilspur/ports/request_sender";
+import {
+  type UnansweredSend,
+  UnansweredSends,
+} from "@lentilspur/routing/unanswered_sends";
 import {
   CrashSuspects,
   type SuspectDecision,
   type SuspectReport,
 } from "@lentilspur/routing/crash_suspects";
-import { formatLife, type TargetLife } from "@lentilspur/routing/target_life";
+import {
+  formatTargetIncarnation,
+  type TargetIncarnation,
+} from "@lentilspur/routing/target_incarnation";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
 import type { CatalogueEvent } from "../views/catalogue_event.ts";
 import { getFingerprint, type Passage } from "./passage.ts";
@@ -48,14 +57,14 @@
 export interface RequestQuarantineOptions extends PeerOptions {
   readonly findTarget: (
     id: string,
-  ) => (TargetLife & { readonly leaving: boolean }) | undefined;
+  ) => (TargetIncarnation & { readonly leaving: boolean }) | undefined;
 
   readonly observe: (event: QuarantineEvent) => void;
 }
 
 /** What came of a send. */
 export interface SendEnd {
-  readonly target: TargetLife;
+  readonly target: TargetIncarnation;
   readonly outcome: SendOutcome;
   readonly sentAtMs: number;
   /** Given up since its answer was overdue. */
@@ -72,7 +81,7 @@
 
 export class RequestQuarantine {
   readonly #options: RequestQuarantineOptions;
-  readonly #broken = new BrokenSends();
+  readonly #broken = new UnansweredSends();
   readonly #suspects = new CrashSuspects();
   /** Until when a change that this instance observed is told again. */
   readonly #news = new Map<string, number>();
@@ -112,8 +121,8 @@
     const nowMs = this.#options.clock.readMs();
     switch (outcome.kind) {
       case "answered":
-        this.#broken.recordHeard(target.id, sentAtMs);
-        if (isServed(outcome)) {
+        this.#broken.recordAnswered(target.id, sentAtMs);
+        if (isSuccessful(outcome)) {
           this.#clear(passage);
         }
         return;
@@ -121,7 +130,7 @@
         if (outcome.cause === "unreachable") {
           this.#recordCrashes(this.#broken.takeUnreachable(target.id, nowMs));
         } else if (outcome.cause !== "replaced") {
-          this.#broken.recordHeard(target.id, sentAtMs);
+          this.#broken.recordAnswered(target.id, sentAtMs);
         }
         return;
       case "unknown":
@@ -218,7 +227,7 @@
     }
   }
 
-  #recordCrashes(sends: readonly BrokenSend[]): void {
+  #recordCrashes(sends: readonly UnansweredSend[]): void {
     for (const { fingerprint, target, ...times } of sends) {
       if (this.#suspects.recordCrash(fingerprint, hashLife(target), times)) {
         const isQuarantined = this.#suspects.isQuarantined(fingerprint);
@@ -261,6 +270,6 @@
   }
 }
 
-function hashLife(target: TargetLife): string {
-  return hashShort(formatLife(target));
+function hashLife(target: TargetIncarnation): string {
+  return hashShort(formatTargetIncarnation(target));
 }
--- a/packages/gateway/src/requests/request_router.ts
+++ b/packages/gateway/src/requests/request_router.ts
@@ -11,7 +11,7 @@
 import type { Clock } from "@lentilspur/ports/clock";
 import type { RequestSender } from "@lentilspur/ports/request_sender";
 import type { Route, RoutingTarget } from "@lentilspur/ports/routing_table";
-import type { RouteHit } from "@lentilspur/routing/route_index";
+import type { MatchedRoute } from "@lentilspur/routing/route_index";
 import type { PlaceDecision } from "@lentilspur/routing/service_places";
 import type { AccountGate } from "../entry/account_gate.ts";
 import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
@@ -20,7 +20,7 @@
 import type { KeyDirectory } from "../views/key_directory.ts";
 import { AnswerWatch } from "./answer_watch.ts";
 import { OutcomeSettler, REFUSED_RETRY_MS } from "./outcome_settler.ts";
-import type { QuotaDecision } from "@lentilspur/routing/paced_quota";
+import type { PermitDecision } from "@lentilspur/routing/request_pacer";
 import { computeLatestStart } from "./latest_start.ts";
 import { hashPathKey } from "./path_key.ts";
 import { OwnerFinder, type OwnerLookup } from "./owner_finder.ts";
@@ -122,7 +122,7 @@
 
   #admit(
     request: CallerRequest,
-    { route, keyText }: RouteHit,
+    { route, keyText }: MatchedRoute,
     version: number,
   ): Passage | FinalResponse {
     const { accounts, services, observeKey } = this.#options;
@@ -266,7 +266,7 @@
   async #waitForTurn(
     passage: Passage,
     target: RoutingTarget,
-  ): Promise<QuotaDecision> {
+  ): Promise<PermitDecision> {
     const { clock, turns, services } = this.#options;
     if (turns.getPerSecond(target) === undefined) {
       return { kind: "granted", waitMs: 0 };
--- a/packages/gateway/src/requests/request_router_test.ts
+++ b/packages/gateway/src/requests/request_router_test.ts
@@ -32,7 +32,7 @@
   status: 200,
   headers: [],
   body: new Uint8Array(0),
-  isFramed: true,
+  isSelfDelimited: true,
 };
 const RESET: SendOutcome = {
   kind: "unknown",
--- a/packages/gateway/src/requests/request_world.ts
+++ b/packages/gateway/src/requests/request_world.ts
@@ -17,7 +17,7 @@
 import type { Route, RoutingTable } from "@lentilspur/ports/routing_table";
 import { SeededRandom } from "@lentilspur/ports/seeded_random";
 import { VirtualClock } from "@lentilspur/ports/virtual_clock";
-import { formatLife } from "@lentilspur/routing/target_life";
+import { formatTargetIncarnation } from "@lentilspur/routing/target_incarnation";
 import { AccountGate } from "../entry/account_gate.ts";
 import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import { Catalogue } from "../views/catalogue.ts";
@@ -186,7 +186,7 @@
   /** Which instance gives out the turns of a target. */
   findDecider(id: string): string {
     const [path] = this.#paths.values();
-    return path!.duties.chooseDeciders(formatLife({ id }))[0]!;
+    return path!.duties.chooseDeciders(formatTargetIncarnation({ id }))[0]!;
   }
 
   /** Sends of one path that reached a target later than a time. */
@@ -448,7 +448,7 @@
         status: 200,
         headers: [],
         body: new Uint8Array(0),
-        isFramed: true,
+        isSelfDelimited: true,
       };
     case "crashed":
       return { kind: "unknown", cause: "reset", message: "reset" };
--- a/packages/gateway/src/requests/service_registry.ts
+++ b/packages/gateway/src/requests/service_registry.ts
@@ -4,15 +4,15 @@
 import type { Route, RoutingTarget } from "@lentilspur/ports/routing_table";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
 import {
-  RetryAllowance,
+  RetryBudget,
   type RetryLimits,
-} from "@lentilspur/routing/retry_allowance";
+} from "@lentilspur/routing/retry_budget";
 import {
   type PlaceDecision,
   type PlaceRequest,
   ServicePlaces,
 } from "@lentilspur/routing/service_places";
-import { SplitBalance } from "@lentilspur/routing/split_balance";
+import { TrafficSplitter } from "@lentilspur/routing/traffic_splitter";
 import type { TargetLoad } from "@lentilspur/routing/target_load";
 import type { Catalogue } from "../views/catalogue.ts";
 import type { LoadCounts } from "../peers/load_counts.ts";
@@ -39,8 +39,8 @@
 export class ServiceRegistry {
   readonly #options: ServiceRegistryOptions;
   readonly #places = new Map<string, ServicePlaces>();
-  readonly #retries = new Map<string, RetryAllowance>();
-  readonly #split = new SplitBalance();
+  readonly #retries = new Map<string, RetryBudget>();
+  readonly #split = new TrafficSplitter();
   /** Targets at which each peer last had requests. */
   readonly #peerTargets = new Map<string, readonly string[]>();
   #retryLimits: RetryLimits;
@@ -79,7 +79,7 @@
       const places = this.#getPlaces(name);
       places.setTargets(catalogue.listForWork(name));
       places.setMaxWaiting(this.#getMaxWaiting(name));
-      places.advance(nowMs);
+      places.dispatchQueued(nowMs);
     }
   }
 
@@ -94,7 +94,7 @@
     while (!signal.aborted) {
       this.#tickedAtMs = clock.readMs();
       for (const places of this.#places.values()) {
-        places.advance(clock.readMs());
+        places.dispatchQueued(clock.readMs());
       }
       this.#tickMs = this.waiting > 0 ? TICK_MS : IDLE_TICK_MS;
       await sleepUntilTick(clock, this.#tickMs, signal);
@@ -120,7 +120,7 @@
         resolve(undefined);
       };
       signal.addEventListener("abort", leave, { once: true });
-      places.offer(request, this.#options.clock.readMs(), (decision) => {
+      places.submit(request, this.#options.clock.readMs(), (decision) => {
         signal.removeEventListener("abort", leave);
         resolve(decision);
       });
@@ -129,20 +129,25 @@
 
   recordSend(service: string, isRetry: boolean): void {
     if (!isRetry) {
-      this.#getRetries(service).recordFirstSend(this.#options.clock.readMs());
+      this.#getRetries(service).recordFirstAttempt(
+        this.#options.clock.readMs(),
+      );
     }
   }
 
   claimRetry(service: string): boolean {
     const { clock, countInstances } = this.#options;
-    return this.#getRetries(service).claim(countInstances(), clock.readMs());
+    return this.#getRetries(service).claimRetry(
+      countInstances(),
+      clock.readMs(),
+    );
   }
 
   /** The place that was given is not used after all. */
   recordEnded(service: string, targetId: string, requestId: string): void {
     const places = this.#getPlaces(service);
     places.getLoad(targetId)?.recordEnded(requestId);
-    places.advance(this.#options.clock.readMs());
+    places.dispatchQueued(this.#options.clock.readMs());
   }
 
   recordOutcome(
@@ -162,18 +167,18 @@
     load?.recordEnded(requestId);
     switch (outcome.kind) {
       case "answered":
-        load?.recordAnswer(nowMs - sentAtMs, placed.occupancy);
+        load?.recordResponse(nowMs - sentAtMs, placed.occupancy);
         break;
       case "not-run":
         if (outcome.cause === "unreachable" || outcome.cause === "replaced") {
-          load?.recordSilence(nowMs);
+          load?.recordUnresponsive(nowMs);
         } else if (outcome.cause === "full") {
           load?.recordFailure(nowMs);
         }
         break;
       case "unknown":
         if (outcome.cause === "silent" || isOverdue) {
-          load?.recordSlow(nowMs - sentAtMs);
+          load?.recordTimeout(nowMs - sentAtMs);
         } else if (outcome.cause !== "cancelled") {
           load?.recordFailure(nowMs);
         }
@@ -182,7 +187,7 @@
     if (outcome.kind !== "unknown" && outcome.load !== undefined) {
       load?.recordReport(outcome.load, nowMs);
     }
-    places.advance(nowMs);
+    places.dispatchQueued(nowMs);
   }
 
   /**
@@ -204,8 +209,8 @@
     this.#peerTargets.set(peer, named);
     for (const [service, places] of this.#places) {
       const waits = Object.entries(counts.waiting[service] ?? {});
-      places.setPeerWaits(peer, new Map(waits), nowMs, counts.instances);
-      places.advance(nowMs);
+      places.setPeerQueueLengths(peer, new Map(waits), nowMs, counts.instances);
+      places.dispatchQueued(nowMs);
     }
   }
 
@@ -219,22 +224,22 @@
         }
       }
       if (places.waiting > 0) {
-        waiting[service] = Object.fromEntries(places.countWaits());
+        waiting[service] = Object.fromEntries(places.countQueued());
       }
     }
     return { running, waiting, instances: 1 };
   }
 
   getUsualServiceMs(service: string): number | null {
-    return this.#getPlaces(service).getUsualServiceMs();
+    return this.#getPlaces(service).getAverageServiceMs();
   }
 
   /** How long a request that has just been placed will take to be answered. */
   estimateAnswerMs(service: string, targetId: string): number {
     const places = this.#getPlaces(service);
-    const usualMs = places.getUsualServiceMs();
+    const usualMs = places.getAverageServiceMs();
     return places.getLoad(targetId)
-      ?.estimateAnswerMs(this.#options.clock.readMs(), usualMs) ?? 0;
+      ?.estimateResponseMs(this.#options.clock.readMs(), usualMs) ?? 0;
   }
 
   /** Work of one request at each target of a service, where measured. */
@@ -275,10 +280,10 @@
     return table?.services.get(service)?.maxWaitingPerTarget ?? Infinity;
   }
 
-  #getRetries(service: string): RetryAllowance {
+  #getRetries(service: string): RetryBudget {
     let retries = this.#retries.get(service);
     if (retries === undefined) {
-      retries = new RetryAllowance(this.#resolveRetryLimits(service));
+      retries = new RetryBudget(this.#resolveRetryLimits(service));
       this.#retries.set(service, retries);
     }
     return retries;
--- a/packages/gateway/src/requests/target_limits.ts
+++ b/packages/gateway/src/requests/target_limits.ts
@@ -3,9 +3,15 @@
  * from all instances together. That a target has a limit is told to all at once,
  * and by the instance that gives out its turns again and again.
  */
-import { isServed, type SendOutcome } from "@lentilspur/ports/request_sender";
+import {
+  isSuccessful,
+  type SendOutcome,
+} from "@lentilspur/ports/request_sender";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
-import { formatLife, type TargetLife } from "@lentilspur/routing/target_life";
+import {
+  formatTargetIncarnation,
+  type TargetIncarnation,
+} from "@lentilspur/routing/target_incarnation";
 import type { Member } from "../members/members.ts";
 import type { LimitReport } from "./limit_report.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
@@ -58,10 +64,10 @@
   }
 
   /** Requests a second that a target takes; undefined where it names no limit. */
-  getPerSecond(target: TargetLife): number | undefined {
+  getPerSecond(target: TargetIncarnation): number | undefined {
     return this.#limits.size === 0
       ? undefined
-      : this.findPerSecond(formatLife(target));
+      : this.findPerSecond(formatTargetIncarnation(target));
   }
 
   /** As above, by `formatLife`. */
@@ -69,14 +75,18 @@
     return this.#limits.get(life)?.perSecond ?? undefined;
   }
 
-  recordEnd(target: TargetLife, outcome: SendOutcome, sentAtMs: number): void {
+  recordEnd(
+    target: TargetIncarnation,
+    outcome: SendOutcome,
+    sentAtMs: number,
+  ): void {
     if (outcome.kind === "unknown") {
       return;
     }
     const { limitPerSecond } = outcome;
     if (limitPerSecond !== undefined) {
       this.#recordNamed(target, limitPerSecond);
-    } else if (isServed(outcome)) {
+    } else if (isSuccessful(outcome)) {
       this.#recordUnnamed(target, sentAtMs);
     }
   }
@@ -122,9 +132,9 @@
     }
   }
 
-  #recordNamed(target: TargetLife, perSecond: number): void {
+  #recordNamed(target: TargetIncarnation, perSecond: number): void {
     const { clock, instance, duties, findMember } = this.#options;
-    const life = formatLife(target);
+    const life = formatTargetIncarnation(target);
     const before = this.findPerSecond(life) ?? null;
     if (isChange(before, perSecond)) {
       this.#setLimit(target, perSecond);
@@ -137,11 +147,11 @@
     this.#send(member === undefined ? [] : [member], [life]);
   }
 
-  #recordUnnamed(target: TargetLife, sentAtMs: number): void {
+  #recordUnnamed(target: TargetIncarnation, sentAtMs: number): void {
     if (this.#limits.size === 0) {
       return;
     }
-    const known = this.#limits.get(formatLife(target));
+    const known = this.#limits.get(formatTargetIncarnation(target));
     if (
       known !== undefined && known.perSecond !== null &&
       sentAtMs > known.atMs + LIFTED_MS
@@ -151,9 +161,9 @@
   }
 
   /** This instance is the first to see a change; all are told. */
-  #setLimit(target: TargetLife, perSecond: number | null): void {
+  #setLimit(target: TargetIncarnation, perSecond: number | null): void {
     const { clock, duties, observe } = this.#options;
-    const life = formatLife(target);
+    const life = formatTargetIncarnation(target);
     this.#limits.set(life, { perSecond, atMs: clock.readMs() });
     observe({ kind: "target-limit", targetId: target.id, perSecond });
     this.#send(duties.listRelays(), [life]);
--- a/packages/gateway/src/requests/target_limits_test.ts
+++ b/packages/gateway/src/requests/target_limits_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { countMostWithin } from "@lentilspur/ports/window_count";
+import { countMaxInWindow } from "@lentilspur/ports/window_count";
 import { DOZEN, sendLoad } from "./request_load.ts";
 import { RequestWorld, type RequestWorldOptions } from "./request_world.ts";
 
@@ -14,7 +14,7 @@
   const times = world.arrivals
     .filter(({ targetId, atMs }) => targetId === id && atMs >= afterMs)
     .map(({ atMs }) => atMs);
-  return countMostWithin(times, WINDOW_MS);
+  return countMaxInWindow(times, WINDOW_MS);
 }
 
 /** A world with callers, in which the first target has named its limit. */
--- a/packages/gateway/src/requests/target_turns.ts
+++ b/packages/gateway/src/requests/target_turns.ts
@@ -10,10 +10,13 @@
  * does.
  */
 import {
-  PacedQuota,
-  type QuotaDecision,
-} from "@lentilspur/routing/paced_quota";
-import { formatLife, type TargetLife } from "@lentilspur/routing/target_life";
+  type PermitDecision,
+  RequestPacer,
+} from "@lentilspur/routing/request_pacer";
+import {
+  formatTargetIncarnation,
+  type TargetIncarnation,
+} from "@lentilspur/routing/target_incarnation";
 import type { Member } from "../members/members.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 import type { PeerOptions } from "../peers/peer_options.ts";
@@ -26,7 +29,7 @@
   readonly limits: TargetLimits;
   readonly findMember: (instance: string) => Member | undefined;
   /** Requests a second that a target takes while it is cold; else undefined. */
-  readonly getColdPerSecond: (target: TargetLife) => number | undefined;
+  readonly getColdPerSecond: (target: TargetIncarnation) => number | undefined;
 }
 
 interface WantedTurn {
@@ -48,15 +51,15 @@
 const NO_DECIDER_RETRY_MS = 300;
 /** A quota that nobody has used for this long is as good as a new one. */
 const UNUSED_MS = 10_000;
-const FREE: QuotaDecision = { kind: "granted", waitMs: 0 };
+const FREE: PermitDecision = { kind: "granted", waitMs: 0 };
 
 export class TargetTurns {
   readonly #options: TargetTurnsOptions;
   /** Of the targets whose turns this instance gives out. */
-  readonly #quotas = new Map<string, PacedQuota>();
+  readonly #quotas = new Map<string, RequestPacer>();
   /** Until when no turn is to be had, as far as is known here. */
   readonly #closedUntilMs = new Map<string, number>();
-  readonly #asked = new Map<number, (decision: QuotaDecision) => void>();
+  readonly #asked = new Map<number, (decision: PermitDecision) => void>();
   #lastNumber = 0;
 
   constructor(options: TargetTurnsOptions) {
@@ -64,22 +67,26 @@
   }
 
   /** Requests a second that a target takes; undefined where it takes any number. */
-  getPerSecond(target: TargetLife): number | undefined {
+  getPerSecond(target: TargetIncarnation): number | undefined {
     const { limits, getColdPerSecond } = this.#options;
     return findLowest(limits.getPerSecond(target), getColdPerSecond(target));
   }
 
   /** How long a turn will have to be waited for, as far as is known here. */
-  estimateWaitMs(target: TargetLife): number {
+  estimateWaitMs(target: TargetIncarnation): number {
     if (this.#closedUntilMs.size === 0) {
       return 0;
     }
-    const untilMs = this.#closedUntilMs.get(formatLife(target)) ?? -Infinity;
+    const untilMs = this.#closedUntilMs.get(formatTargetIncarnation(target)) ??
+      -Infinity;
     return Math.max(0, untilMs - this.#options.clock.readMs());
   }
 
   /** A turn to send to the target, if there is one within `maxWaitMs`. */
-  async claim(target: TargetLife, maxWaitMs: number): Promise<QuotaDecision> {
+  async claim(
+    target: TargetIncarnation,
+    maxWaitMs: number,
+  ): Promise<PermitDecision> {
     if (this.getPerSecond(target) === undefined) {
       return FREE;
     }
@@ -88,7 +95,7 @@
       return { kind: "refused", retryAfterMs: closedMs };
     }
     const { duties, getColdPerSecond } = this.#options;
-    const life = formatLife(target);
+    const life = formatTargetIncarnation(target);
     const coldPerSecond = getColdPerSecond(target) ?? null;
     for (const [place, name] of duties.chooseDeciders(life).entries()) {
       const share = place === 0 ? 1 : STAND_IN_SHARE;
@@ -139,7 +146,7 @@
   #fetchTurn(
     name: string,
     wanted: WantedTurn,
-  ): Promise<QuotaDecision | undefined> {
+  ): Promise<PermitDecision | undefined> {
     const { instance: from, clock, limits, findMember, send } = this.#options;
     if (name === from) {
       return Promise.resolve(this.#decide(wanted));
@@ -158,7 +165,7 @@
     };
     const over = new AbortController();
     return new Promise((resolve) => {
-      const settle = (decision: QuotaDecision | undefined): void => {
+      const settle = (decision: PermitDecision | undefined): void => {
         this.#asked.delete(number);
         over.abort();
         resolve(decision);
@@ -172,7 +179,7 @@
   /** Gives out a turn as the one that decides. */
   #decide(
     { life, coldPerSecond, maxWaitMs, share }: WantedTurn,
-  ): QuotaDecision {
+  ): PermitDecision {
     const { clock, limits } = this.#options;
     const perSecond = findLowest(
       limits.findPerSecond(life),
@@ -181,12 +188,12 @@
     if (perSecond === undefined) {
       return FREE;
     }
-    const quota = this.#quotas.get(life) ?? new PacedQuota();
+    const quota = this.#quotas.get(life) ?? new RequestPacer();
     this.#quotas.set(life, quota);
-    return quota.claim(share * perSecond, maxWaitMs, clock.readMs());
+    return quota.reserve(share * perSecond, maxWaitMs, clock.readMs());
   }
 
-  #recordDecision(life: string, decision: QuotaDecision): void {
+  #recordDecision(life: string, decision: PermitDecision): void {
     const nowMs = this.#options.clock.readMs();
     switch (decision.kind) {
       case "granted":
--- a/packages/gateway/src/views/catalogue.ts
+++ b/packages/gateway/src/views/catalogue.ts
@@ -15,11 +15,11 @@
   RoutingTarget,
 } from "@lentilspur/ports/routing_table";
 import {
+  type MatchedRoute,
   type RoutedRequest,
-  type RouteHit,
   RouteIndex,
 } from "@lentilspur/routing/route_index";
-import type { TargetLife } from "@lentilspur/routing/target_life";
+import type { TargetIncarnation } from "@lentilspur/routing/target_incarnation";
 import type { CatalogueEvent, Withdrawal } from "./catalogue_event.ts";
 import { Evacuations } from "./evacuations.ts";
 import { TargetSightings } from "./target_sightings.ts";
@@ -77,7 +77,7 @@
     return this.#table;
   }
 
-  match(request: RoutedRequest): RouteHit | undefined {
+  match(request: RoutedRequest): MatchedRoute | undefined {
     return this.#index.match(request);
   }
 
@@ -199,7 +199,7 @@
 
   /** Requests a second that a target takes while it is cold; else undefined. */
   getColdPerSecond(
-    { id, bornMs }: TargetLife,
+    { id, bornMs }: TargetIncarnation,
     nowMs: number,
   ): number | undefined {
     const target = this.getTarget(id);
--- a/packages/gateway/src/views/partition_relay_test.ts
+++ b/packages/gateway/src/views/partition_relay_test.ts
@@ -194,7 +194,7 @@
   const readers = new Readers(MANY);
   await readers.clock.advance(5_000);
   const reader = readers.findReader();
-  readers.store.setMood(reader, "refusing");
+  readers.store.setFaultMode(reader, "refusing");
   await readers.clock.advance(3_000);
   assert.notEqual(readers.findReader(), reader);
   const before = readers.countReads();
@@ -213,7 +213,7 @@
       name !== readers.findReader() && duties.isLocalReader()
     )![0];
   readers.silent.add(local);
-  readers.store.setMood(local, "silent");
+  readers.store.setFaultMode(local, "silent");
   readers.store.write(PARTITION, "a", "leaving");
   await readers.clock.advance(VALID_MS + 100);
   for (const [name, known] of readers.known) {
@@ -245,7 +245,7 @@
   await readers.clock.advance(5_000);
   const reader = readers.findReader();
   readers.silent.add(reader);
-  readers.store.setMood(reader, "silent");
+  readers.store.setFaultMode(reader, "silent");
   readers.store.write(PARTITION, "a", "leaving");
   await readers.clock.advance(VALID_MS + 100);
   for (const [name, known] of readers.known) {
--- a/packages/gateway/src/views/partition_tail_test.ts
+++ b/packages/gateway/src/views/partition_tail_test.ts
@@ -54,12 +54,12 @@
   // ever read; a reader that goes on from the end would send to it for ever.
   const { clock, store, applied, events } = startTail();
   await clock.advance(50);
-  store.setMood("me", "refusing");
+  store.setFaultMode("me", "refusing");
   await clock.advance(2_500);
   store.write(PARTITION, "a", "");
   store.write(PARTITION, "b", "1");
   store.removeHistory(PARTITION);
-  store.setMood("me", "serving");
+  store.setFaultMode("me", "serving");
   await clock.advance(1_000);
   assert.deepEqual(applied.map(({ key, value }) => key + value), [
     "a1",
@@ -78,10 +78,10 @@
   // seconds, begun shortly before its return, would hide a change for as long.
   const { clock, store, applied } = startTail();
   await clock.advance(50);
-  store.setMood("me", "silent");
+  store.setFaultMode("me", "silent");
   await clock.advance(8_000);
   store.write(PARTITION, "a", "2");
-  store.setMood("me", "serving");
+  store.setFaultMode("me", "serving");
   await clock.advance(1_500);
   assert.equal(applied.at(-1)?.value, "2");
 });
@@ -156,7 +156,7 @@
     },
   }));
   await clock.advance(50);
-  store.setMood("me", "silent");
+  store.setFaultMode("me", "silent");
   await clock.advance(2_000);
   calls = 0;
   for (let spentMs = 0; spentMs < 8_000; spentMs += 100) {
--- a/packages/gateway/src/views/store_views_test.ts
+++ b/packages/gateway/src/views/store_views_test.ts
@@ -287,7 +287,7 @@
   reader.writeEvacuation("kirkos", true);
   await reader.advance(3_000, { ownersEnd: 0 });
   assert.deepEqual(reader.evacuated, ["kirkos"]);
-  reader.store.setMood("weak", "refusing");
+  reader.store.setFaultMode("weak", "refusing");
   reader.writeEvacuation("kirkos", false);
   reader.writeEvacuation("bole", true);
   await reader.advance(3_000, { ownersEnd: 0 });
@@ -296,7 +296,7 @@
     ["kirkos"],
     "kept while the store is away",
   );
-  reader.store.setMood("weak", "serving");
+  reader.store.setFaultMode("weak", "serving");
   await reader.advance(APPLY_MS, { ownersEnd: 0, everyMs: 100 });
   assert.deepEqual(reader.evacuated, ["bole"]);
 });
@@ -374,12 +374,12 @@
   const reader = new Reader();
   await reader.advance(2_000, { ownersEnd: 0 });
   reader.store.setLinkRate("weak", SLOW_LINK_BYTES_PER_MS);
-  reader.store.setMood("weak", "refusing");
+  reader.store.setFaultMode("weak", "refusing");
   for (let count = 0; count < missed; count++) {
     reader.version++;
     reader.write("x".repeat(LARGE_CONFIGURATION_BYTES));
     await reader.advance(500, { ownersEnd: 0, everyMs: 100 });
   }
-  reader.store.setMood("weak", "serving");
+  reader.store.setFaultMode("weak", "serving");
   return reader;
 }
--- a/packages/gateway/src/views/table_requests_test.ts
+++ b/packages/gateway/src/views/table_requests_test.ts
@@ -98,7 +98,7 @@
   world.store.write(PARTITION, "keeper", "first");
   world.store.write(PARTITION, TABLE_KEY, serializeTable(before));
   await world.clock.advance(500);
-  world.store.setMood("follower", "refusing");
+  world.store.setFaultMode("follower", "refusing");
   world.store.write(PARTITION, "keeper", "second");
   world.store.write(PARTITION, TABLE_KEY, serializeTable(after));
   await world.clock.advance(500);
@@ -119,7 +119,7 @@
 test("the store is read where the keeper does not answer", async () => {
   const { world, after } = await startBehind();
   world.isKeeperHeard = false;
-  world.store.setMood("follower", "serving");
+  world.store.setFaultMode("follower", "serving");
   void world.requests.get("follower")!.fetch(0, "keeper", 4);
   await world.clock.advance(1_000);
   const directory = world.directories.get("follower")!;
--- a/packages/gateway/src/views/target_sightings.ts
+++ b/packages/gateway/src/views/target_sightings.ts
@@ -1,5 +1,5 @@
 /** When each life of a target was seen here first. */
-import type { TargetLife } from "@lentilspur/routing/target_life";
+import type { TargetIncarnation } from "@lentilspur/routing/target_incarnation";
 
 interface Sighting {
   readonly bornMs: number | undefined;
@@ -24,12 +24,12 @@
   }
 
   /** When this life was seen first, if it is the newest of its id; own clock. */
-  findLifeMs({ id, bornMs }: TargetLife): number | undefined {
+  findLifeMs({ id, bornMs }: TargetIncarnation): number | undefined {
     const seen = this.#sightings.get(id);
     return seen !== undefined && seen.bornMs === bornMs ? seen.atMs : undefined;
   }
 
-  record({ id, bornMs }: TargetLife, atMs: number): void {
+  record({ id, bornMs }: TargetIncarnation, atMs: number): void {
     const seen = this.#sightings.get(id);
     if (seen === undefined || seen.bornMs !== bornMs) {
       this.#sightings.delete(id);
--- a/packages/outcomes/src/error_kinds.ts
+++ b/packages/outcomes/src/error_kinds.ts
@@ -29,7 +29,7 @@
   | "answer-late";
 
 /** How one kind of error is answered over HTTP. */
-export interface ErrorAnswer {
+export interface ErrorResponse {
   readonly status: number;
   /** `not-run` says that the request has not run and never will. */
   readonly outcome: Exclude<Outcome, "ran">;
@@ -43,7 +43,7 @@
 const ELSEWHERE = "Send again to another instance";
 const LOOK_UP = "Look up whether it took effect";
 
-export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = {
+export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> = {
   "malformed": refuse(400, "Correct the request"),
   "unauthenticated": refuse(
     401,
@@ -77,16 +77,16 @@
 };
 
 /** Not run, and sending the same again changes nothing. */
-function refuse(status: number, advice: string): ErrorAnswer {
+function refuse(status: number, advice: string): ErrorResponse {
   return { status, outcome: "not-run", mayResend: false, advice };
 }
 
 /** Not run, but a later attempt may. */
-function refuseForNow(status: number, advice: string): ErrorAnswer {
+function refuseForNow(status: number, advice: string): ErrorResponse {
   return { status, outcome: "not-run", mayResend: true, advice };
 }
 
 /** It may have run: whether to send again is for the caller to decide. */
-function failAsUnknown(status: number): ErrorAnswer {
+function failAsUnknown(status: number): ErrorResponse {
   return { status, outcome: "unknown", mayResend: false, advice: LOOK_UP };
 }
--- a/packages/ownership/src/key_keeper.ts
+++ b/packages/ownership/src/key_keeper.ts
@@ -9,7 +9,7 @@
  */
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import type { Clock } from "@lentilspur/ports/clock";
-import type { KeyOrders } from "@lentilspur/ports/key_orders";
+import type { KeyOrderSender } from "@lentilspur/ports/key_orders";
 import type {
   Partition,
   Store,
@@ -79,7 +79,7 @@
 export interface KeyKeeperOptions {
   readonly clock: Clock;
   readonly store: Store;
-  readonly orders: KeyOrders;
+  readonly orders: KeyOrderSender;
   readonly partition: Partition;
   readonly timing: KeeperTiming;
   /** Offset of the claim. */
--- a/packages/ownership/src/key_keeper_test.ts
+++ b/packages/ownership/src/key_keeper_test.ts
@@ -86,7 +86,7 @@
 
   closeStoreTo(instance: string): void {
     this.cut.add(instance);
-    this.store.setMood(instance, "silent");
+    this.store.setFaultMode(instance, "silent");
   }
 
   readOwners(): readonly string[] {
@@ -136,7 +136,7 @@
   const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
-  world.holders.setMood("a", "unreachable");
+  world.holders.setFaultMode("a", "unreachable");
   world.candidates = [createCandidate("b")];
   await world.clock.advance(3_000);
   assert.notEqual(world.holders.findHolder(0), "b");
@@ -154,10 +154,10 @@
   world.startKeeper("one");
   await world.clock.advance(500);
   world.closeStoreTo("one");
-  world.holders.setMood("a", "unconnectable");
+  world.holders.setFaultMode("a", "unconnectable");
   await world.clock.advance(6_000);
   world.cut.delete("one");
-  world.store.setMood("one", "serving");
+  world.store.setFaultMode("one", "serving");
   world.candidates = [createCandidate("b")];
   await world.clock.advance(2_000);
   assert.equal(world.holders.findHolder(0), "b");
@@ -169,7 +169,7 @@
   const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
-  world.holders.setMood("a", "unreachable");
+  world.holders.setFaultMode("a", "unreachable");
   world.ended.add("a");
   world.candidates = [createCandidate("b")];
   await world.clock.advance(1_000);
@@ -186,10 +186,10 @@
   const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
-  world.holders.setLateMs(2_500);
-  world.holders.setMood("a", "late");
+  world.holders.setLateGrantDelayMs(2_500);
+  world.holders.setFaultMode("a", "late");
   await world.clock.advance(1_500);
-  world.holders.setMood("a", "answering");
+  world.holders.setFaultMode("a", "answering");
   world.candidates = [createCandidate("b")];
   await world.clock.advance(8_000);
   assert.equal(world.holders.findHolder(0), "b");
@@ -206,7 +206,7 @@
   world.startKeeper("one");
   await world.clock.advance(500);
   world.startKeeper("two", { predecessor: "unknown" });
-  world.holders.setMood("c", "unconnectable");
+  world.holders.setFaultMode("c", "unconnectable");
   world.candidates = [createCandidate("c")];
   await world.clock.advance(3_000);
   world.candidates = [createCandidate("b")];
@@ -322,11 +322,11 @@
   world.startKeeper("one");
   await world.clock.advance(500);
   assert.deepEqual(told, []);
-  world.store.setMood("one", "losing-answers");
+  world.store.setFaultMode("one", "losing-answers");
   world.candidates = [createCandidate("a"), createCandidate("c")];
   await world.clock.advance(1_500);
   const lostAt = world.store.listRecords(PARTITION).length;
-  world.store.setMood("one", "serving");
+  world.store.setFaultMode("one", "serving");
   await world.clock.advance(2_000);
   assert.ok(told.some((end) => end >= lostAt), `${told} of ${lostAt}`);
 });
@@ -337,10 +337,10 @@
   const world = new KeyKeeperSimulation();
   world.startKeeper("one");
   await world.clock.advance(500);
-  world.store.setMood("one", "losing-answers");
+  world.store.setFaultMode("one", "losing-answers");
   world.candidates = [createCandidate("b")];
   await world.clock.advance(2_000);
-  world.store.setMood("one", "serving");
+  world.store.setFaultMode("one", "serving");
   await world.clock.advance(2_000);
   assert.equal(world.holders.findHolder(0), "b");
   assert.deepEqual(world.holders.listOverlaps(), []);
--- a/packages/ownership/src/table_reconciler.ts
+++ b/packages/ownership/src/table_reconciler.ts
@@ -10,7 +10,7 @@
  */
 import {
   hasOverlap,
-  type KeyOrders,
+  type KeyOrderSender,
   type OrderOutcome,
   type OrderReceiver,
 } from "@lentilspur/ports/key_orders";
@@ -44,7 +44,7 @@
 
 export interface TableReconcilerOptions {
   readonly clock: Clock;
-  readonly orders: KeyOrders;
+  readonly orders: KeyOrderSender;
   readonly timing: KeeperTiming;
   /** Asked right before each order: whether this keeper may still act. */
   readonly mayAct: () => boolean;
--- a/packages/ports/src/fake_key_holders.ts
+++ b/packages/ports/src/fake_key_holders.ts
@@ -7,14 +7,14 @@
 import {
   type GrantOrder,
   hasOverlap,
-  type KeyOrders,
+  type KeyOrderSender,
   type KeyRange,
   type OrderOutcome,
   type OrderReceiver,
   type ReleaseOrder,
 } from "./key_orders.ts";
 
-export type HolderMood =
+export type HolderFaultMode =
   | "answering"
   /** Orders neither arrive nor fail at once. */
   | "unreachable"
@@ -24,16 +24,16 @@
   | "late";
 
 /** A span in which a target held keys. */
-export interface HeldSpan extends KeyRange {
+export interface HoldInterval extends KeyRange {
   readonly targetId: string;
   /** Which start of the target held them. */
-  readonly life: number;
+  readonly incarnation: number;
   readonly token: number;
   readonly fromMs: number;
   untilMs: number;
 }
 
-export interface SeenOrder extends KeyRange {
+export interface ReceivedOrder extends KeyRange {
   readonly kind: "grant" | "release";
   readonly targetId: string;
   readonly token: number;
@@ -52,10 +52,10 @@
 const WORK_MS = 60;
 
 export class FakeKeyHolders {
-  readonly spans: HeldSpan[] = [];
-  readonly orders: SeenOrder[] = [];
+  readonly holdIntervals: HoldInterval[] = [];
+  readonly orders: ReceivedOrder[] = [];
   readonly #clock: Clock;
-  readonly #moods = new Map<string, HolderMood>();
+  readonly #faultModes = new Map<string, HolderFaultMode>();
   readonly #highest = new Map<string, (KeyRange & { token: number })[]>();
   readonly #ended = new Set<string>();
   readonly #lives = new Map<string, number>();
@@ -65,19 +65,19 @@
     this.#clock = clock;
   }
 
-  setMood(targetId: string, mood: HolderMood): void {
-    this.#moods.set(targetId, mood);
+  setFaultMode(targetId: string, mood: HolderFaultMode): void {
+    this.#faultModes.set(targetId, mood);
   }
 
   /** How long after its arrival an unanswered grant is carried out. */
-  setLateMs(lateMs: number): void {
+  setLateGrantDelayMs(lateMs: number): void {
     this.#lateMs = lateMs;
   }
 
   /** `canReach` says whether this sender's orders reach a target. */
   createClient(
     canReach: (targetId: string) => boolean = () => true,
-  ): KeyOrders {
+  ): KeyOrderSender {
     const sessions = new Map<string, Session>();
     const getSession = (id: string) => this.#updateSession(sessions, id);
     const breakSession = (id: string, outcome: OrderOutcome) => {
@@ -128,7 +128,7 @@
 
   #expireSpans(targetId: string): void {
     const nowMs = this.#clock.readMs();
-    for (const span of this.spans) {
+    for (const span of this.holdIntervals) {
       if (span.targetId === targetId) {
         span.untilMs = Math.min(span.untilMs, nowMs);
       }
@@ -137,10 +137,11 @@
 
   /** Holders that got a key with a token not above those of others before. */
   listStaleTokens(): readonly string[] {
-    return this.spans.flatMap((span, index) =>
-      this.spans.slice(0, index)
+    return this.holdIntervals.flatMap((span, index) =>
+      this.holdIntervals.slice(0, index)
         .filter((earlier) =>
-          (earlier.targetId !== span.targetId || earlier.life !== span.life) &&
+          (earlier.targetId !== span.targetId ||
+            earlier.incarnation !== span.incarnation) &&
           hasOverlap(earlier, span) && earlier.token >= span.token
         )
         .map((earlier) =>
@@ -152,8 +153,8 @@
   /** Pairs of targets that held a key at one time. */
   listOverlaps(): readonly string[] {
     const overlaps: string[] = [];
-    for (const [index, left] of this.spans.entries()) {
-      for (const right of this.spans.slice(index + 1)) {
+    for (const [index, left] of this.holdIntervals.entries()) {
+      for (const right of this.holdIntervals.slice(index + 1)) {
         if (
           left.targetId !== right.targetId && hasOverlap(left, right) &&
           left.fromMs < right.untilMs &&
@@ -171,7 +172,7 @@
   /** Who holds a key now. */
   findHolder(key: number): string | undefined {
     const nowMs = this.#clock.readMs();
-    return this.spans.find((span) =>
+    return this.holdIntervals.find((span) =>
       span.from <= key && key <= span.to && span.untilMs > nowMs
     )?.targetId;
   }
@@ -215,10 +216,10 @@
   }
 
   /** A process that has ended stays so, whatever is set for it afterwards. */
-  #getMood(targetId: string): HolderMood {
+  #getMood(targetId: string): HolderFaultMode {
     return this.#ended.has(targetId)
       ? "unreachable"
-      : this.#moods.get(targetId) ?? "answering";
+      : this.#faultModes.get(targetId) ?? "answering";
   }
 
   async #grantLate(
@@ -270,7 +271,7 @@
   }
 
   #recordOrder(
-    kind: SeenOrder["kind"],
+    kind: ReceivedOrder["kind"],
     targetId: string,
     order: KeyRange & { readonly token: number },
   ): void {
@@ -283,9 +284,9 @@
     const nowMs = this.#clock.readMs();
     this.#addSeen(targetId, order);
     this.#expireHolds(targetId, order);
-    this.spans.push({
+    this.holdIntervals.push({
       targetId,
-      life: this.#getLife(targetId),
+      incarnation: this.#getLife(targetId),
       from: order.from,
       to: order.to,
       token: order.token,
@@ -297,7 +298,7 @@
   /** A renewal takes the place of the hold before; what is left of it goes on. */
   #expireHolds(targetId: string, range: KeyRange): void {
     const nowMs = this.#clock.readMs();
-    for (const span of [...this.spans]) {
+    for (const span of [...this.holdIntervals]) {
       if (
         span.targetId !== targetId || span.untilMs <= nowMs ||
         span.from > range.to || span.to < range.from
@@ -305,10 +306,10 @@
         continue;
       }
       if (span.from < range.from) {
-        this.spans.push({ ...span, to: range.from - 1, fromMs: nowMs });
+        this.holdIntervals.push({ ...span, to: range.from - 1, fromMs: nowMs });
       }
       if (span.to > range.to) {
-        this.spans.push({ ...span, from: range.to + 1, fromMs: nowMs });
+        this.holdIntervals.push({ ...span, from: range.to + 1, fromMs: nowMs });
       }
       span.untilMs = nowMs;
     }
--- a/packages/ports/src/fake_store.ts
+++ b/packages/ports/src/fake_store.ts
@@ -6,7 +6,7 @@
 import type { Clock } from "./clock.ts";
 import type {
   AppendRequest,
-  GroupShare,
+  GroupAssignment,
   JoinRequest,
   Partition,
   ReadOptions,
@@ -18,7 +18,7 @@
 } from "./store.ts";
 
 /** How the store treats the calls of one caller. */
-export type StoreMood =
+export type StoreFaultMode =
   | "serving"
   /** Nothing is done, and it says so. */
   | "refusing"
@@ -44,7 +44,7 @@
   readonly #records = new Map<string, StoreRecord[]>();
   readonly #firstKept = new Map<string, number>();
   readonly #groups = new Map<string, Group>();
-  readonly #moods = new Map<string, StoreMood>();
+  readonly #faultModes = new Map<string, StoreFaultMode>();
   readonly #linkRates = new Map<string, number>();
 
   constructor(clock: Clock, parts = 1) {
@@ -64,8 +64,8 @@
     };
   }
 
-  setMood(caller: string, mood: StoreMood): void {
-    this.#moods.set(caller, mood);
+  setFaultMode(caller: string, mood: StoreFaultMode): void {
+    this.#faultModes.set(caller, mood);
   }
 
   /** From now on what a caller reads comes in at this rate. */
@@ -97,7 +97,7 @@
       return Err(failure);
     }
     const applied = this.#apply(request);
-    if (this.#moods.get(caller) === "losing-answers") {
+    if (this.#faultModes.get(caller) === "losing-answers") {
       await this.#clock.sleep(SILENCE_MS);
       return Err({ kind: "unavailable", message: "The answer was lost" });
     }
@@ -175,7 +175,7 @@
   async #join(
     caller: string,
     request: JoinRequest,
-  ): Promise<Result<GroupShare, StoreFailure>> {
+  ): Promise<Result<GroupAssignment, StoreFailure>> {
     const failure = await this.#wait(caller);
     if (failure !== undefined) {
       return Err(failure);
@@ -230,7 +230,7 @@
   }
 
   async #wait(caller: string): Promise<StoreFailure | undefined> {
-    const mood = this.#moods.get(caller) ?? "serving";
+    const mood = this.#faultModes.get(caller) ?? "serving";
     switch (mood) {
       case "serving":
       case "losing-answers":
--- a/packages/ports/src/fake_target.ts
+++ b/packages/ports/src/fake_target.ts
@@ -6,7 +6,7 @@
 import type { Clock } from "./clock.ts";
 import { hasOverlap, type KeyRange, splitRange } from "./key_orders.ts";
 
-export type RunEnding =
+export type RunState =
   | "running"
   /** It ran to its end and was answered. */
   | "done"
@@ -27,7 +27,7 @@
   readonly startedAtMs: number;
   /** Null while it runs. */
   readonly endedAtMs: number | null;
-  readonly ending: RunEnding;
+  readonly ending: RunState;
   /** SHA-256 of the answer's body, in hex, once there is one. */
   readonly answerDigest?: string;
 }
@@ -238,7 +238,7 @@
     return run;
   }
 
-  #settleRun(run: TargetRun, body: string, ending: RunEnding): TargetRun {
+  #settleRun(run: TargetRun, body: string, ending: RunState): TargetRun {
     const answerDigest = createHash("sha256").update(body).digest("hex");
     const endedAtMs = this.#options.clock.readMs();
     const settled = { ...run, endedAtMs, ending, answerDigest };
--- a/packages/ports/src/key_orders.ts
+++ b/packages/ports/src/key_orders.ts
@@ -61,7 +61,7 @@
   /** It may be carried out yet. */
   | { readonly kind: "unanswered"; readonly message: string };
 
-export interface KeyOrders {
+export interface KeyOrderSender {
   /** The present session with a target; a grant is sent in one or not at all. */
   getSession(to: OrderReceiver): number;
   grant(
--- a/packages/ports/src/request_sender.ts
+++ b/packages/ports/src/request_sender.ts
@@ -41,7 +41,7 @@
 }
 
 /** A target's answer, as it is passed on. */
-export interface TargetAnswer {
+export interface TargetResponse {
   readonly status: number;
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
@@ -50,12 +50,12 @@
    * connection, and nobody can tell whether it is whole: it must not be given a
    * length on its way.
    */
-  readonly isFramed: boolean;
+  readonly isSelfDelimited: boolean;
 }
 
 export type SendOutcome =
   /** The target's whole answer, to be passed on unchanged. */
-  | (TargetAnswer & TargetReport & { readonly kind: "answered" })
+  | (TargetResponse & TargetReport & { readonly kind: "answered" })
   /** Proved not to have run, and never to run. */
   | (TargetReport & {
     readonly kind: "not-run";
@@ -70,7 +70,7 @@
   };
 
 /** Whether a target ran it and did not fail at it. */
-export function isServed(outcome: SendOutcome): boolean {
+export function isSuccessful(outcome: SendOutcome): boolean {
   return outcome.kind === "answered" && outcome.status < FIRST_FAILED_STATUS;
 }
 
--- a/packages/ports/src/store.ts
+++ b/packages/ports/src/store.ts
@@ -65,7 +65,7 @@
   readonly generation: number;
 }
 
-export interface GroupShare {
+export interface GroupAssignment {
   readonly generation: number;
   /** Partitions of the topic that fall to this member. */
   readonly parts: readonly number[];
@@ -81,6 +81,6 @@
     options?: ReadOptions,
   ): Promise<Result<StoreReadResult, StoreFailure>>;
   /** Joins a group of instances that divide partitions, or stays in it. */
-  join(request: JoinRequest): Promise<Result<GroupShare, StoreFailure>>;
+  join(request: JoinRequest): Promise<Result<GroupAssignment, StoreFailure>>;
   leave(group: string, member: string): Promise<Result<void, StoreFailure>>;
 }
--- a/packages/ports/src/window_count.ts
+++ b/packages/ports/src/window_count.ts
@@ -1,7 +1,7 @@
 /** Counts of events in a window that slides. */
 
 /** The most of these times that lie in any window of this length. */
-export function countMostWithin(
+export function countMaxInWindow(
   times: readonly number[],
   windowMs: number,
 ): number {
--- a/packages/proof/src/audit.ts
+++ b/packages/proof/src/audit.ts
@@ -11,7 +11,7 @@
  * said along with the findings.
  */
 import {
-  ERROR_ANSWERS,
+  ERROR_RESPONSES,
   type ErrorKind,
 } from "@lentilspur/outcomes/error_kinds";
 import {
@@ -114,7 +114,7 @@
 }
 
 function isToldNotRun({ outcome }: FinalLine): boolean {
-  return ERROR_ANSWERS[outcome as ErrorKind]?.outcome === "not-run";
+  return ERROR_RESPONSES[outcome as ErrorKind]?.outcome === "not-run";
 }
 
 /** A line of the send may have been dropped; then nothing is held against it. */
--- a/packages/proof/src/explain.ts
+++ b/packages/proof/src/explain.ts
@@ -3,7 +3,7 @@
  * it, and what changed around it that bears on its end.
  */
 import {
-  ERROR_ANSWERS,
+  ERROR_RESPONSES,
   type ErrorKind,
 } from "@lentilspur/outcomes/error_kinds";
 import {
@@ -142,7 +142,7 @@
   if (final.outcome === "answered") {
     return ["It ran, and its caller got the target's whole answer"];
   }
-  const answer = ERROR_ANSWERS[final.outcome as ErrorKind];
+  const answer = ERROR_RESPONSES[final.outcome as ErrorKind];
   return answer?.outcome === "not-run"
     ? ["It has not run and never will"]
     : ["It may have run; ask the target by its id"];
--- a/packages/routing/src/account_limiter.ts
+++ b/packages/routing/src/account_limiter.ts
@@ -27,7 +27,7 @@
 const MIN_DEMAND = 0.1;
 
 /** What one instance sees of one account's traffic to one service. */
-export interface OwnDemand {
+export interface InstanceDemand {
   readonly clientAccount: string;
   readonly service: string;
   readonly perSecond: number;
@@ -66,7 +66,7 @@
     this.#instanceCount = Math.max(1, count);
   }
 
-  offer(
+  admit(
     account: string,
     service: string,
     allowance: AccountAllowance,
@@ -101,7 +101,7 @@
   }
 
   /** Takes in what the other instances see, in offers a second each. */
-  applyPeerDemand(
+  setPeerDemands(
     account: string,
     service: string,
     peerDemands: readonly number[],
@@ -121,7 +121,7 @@
   }
 
   /** Every account and service with offers of late. */
-  listDemands(nowMs: number): readonly OwnDemand[] {
+  listDemands(nowMs: number): readonly InstanceDemand[] {
     return [...this.#buckets]
       .map(([name, bucket]) => ({
         ...splitName(name),
--- a/packages/routing/src/account_limiter_test.ts
+++ b/packages/routing/src/account_limiter_test.ts
@@ -18,7 +18,7 @@
   let admitted = 0;
   for (let index = 0; index < perSecond * seconds; index++) {
     const nowMs = index * 1_000 / perSecond;
-    const decision = limiter.offer("nile", "case-files", PARAMETERS, nowMs);
+    const decision = limiter.admit("nile", "case-files", PARAMETERS, nowMs);
     admitted += decision.kind === "admitted" ? 1 : 0;
   }
   return admitted;
@@ -36,9 +36,9 @@
 // a twelfth of its rate there, it would be refused well within its limits.
 test("what the other instances do not use is allowed here", () => {
   const limiter = new AccountLimiter({ instanceCount: 12 });
-  limiter.offer("nile", "case-files", PARAMETERS, 0);
+  limiter.admit("nile", "case-files", PARAMETERS, 0);
   const idlePeers = Array.from({ length: 11 }, () => 1);
-  limiter.applyPeerDemand("nile", "case-files", idlePeers, 0);
+  limiter.setPeerDemands("nile", "case-files", idlePeers, 0);
   const admitted = countAdmitted(limiter, 200, 4);
   assert.ok(admitted > 0.8 * 109 * 4, `${admitted} admitted`);
 });
@@ -53,11 +53,11 @@
 test("a refused caller is told when the next request is due", () => {
   const limiter = new AccountLimiter({ instanceCount: 1 });
   for (let index = 0; index < PARAMETERS.burst; index++) {
-    limiter.offer("nile", "case-files", PARAMETERS, 0);
+    limiter.admit("nile", "case-files", PARAMETERS, 0);
   }
-  const refused = limiter.offer("nile", "case-files", PARAMETERS, 0);
+  const refused = limiter.admit("nile", "case-files", PARAMETERS, 0);
   assert.ok(refused.kind === "refused");
-  const later = limiter.offer(
+  const later = limiter.admit(
     "nile",
     "case-files",
     PARAMETERS,
@@ -69,7 +69,7 @@
 test("requests in the system are bounded, and released ones make room", () => {
   const limiter = new AccountLimiter({ instanceCount: 1 });
   const parameters = { ...PARAMETERS, maxConcurrent: 1 };
-  const offer = () => limiter.offer("nile", "case-files", parameters, 0).kind;
+  const offer = () => limiter.admit("nile", "case-files", parameters, 0).kind;
   assert.deepEqual([offer(), offer()], ["admitted", "refused"]);
   limiter.release("nile", "case-files");
   assert.equal(offer(), "admitted");
--- a/packages/routing/src/fair_order.ts
+++ b/packages/routing/src/fair_scheduler.ts
@@ -11,7 +11,7 @@
  */
 
 /** An account's claim on the places of one service. */
-export interface Share {
+export interface AccountShare {
   readonly clientAccount: string;
   /** Relative to other accounts. */
   readonly weight: number;
@@ -20,16 +20,16 @@
 /** Accounts that are remembered; those that are not behind cost nothing. */
 const MAX_REMEMBERED = 4_096;
 
-export class FairOrder {
+export class FairScheduler {
   #position = 0;
   readonly #nextTags = new Map<string, number>();
 
   /** Lower goes first; requests without an account all have the same. */
-  drawTag(share: Share | undefined): number {
+  assignStartTag(share: AccountShare | undefined): number {
     if (share === undefined) {
       return 0;
     }
-    const tag = this.findTag(share);
+    const tag = this.getNextStartTag(share);
     this.#nextTags.delete(share.clientAccount);
     this.#nextTags.set(share.clientAccount, tag + 1 / share.weight);
     if (this.#nextTags.size > MAX_REMEMBERED) {
@@ -39,7 +39,7 @@
   }
 
   /** The tag that the account's next request would get. */
-  findTag(share: Share | undefined): number {
+  getNextStartTag(share: AccountShare | undefined): number {
     return share === undefined
       ? 0
       : Math.max(this.#position, this.#nextTags.get(share.clientAccount) ?? 0);
--- a/packages/routing/src/paced_quota.ts
+++ b/packages/routing/src/request_pacer.ts
@@ -6,7 +6,7 @@
  * told when its turn would have been.
  */
 
-export type QuotaDecision =
+export type PermitDecision =
   | { readonly kind: "granted"; readonly waitMs: number }
   | { readonly kind: "refused"; readonly retryAfterMs: number };
 
@@ -15,7 +15,7 @@
 /** Slower than this, it would take too long to see that a limit is lifted. */
 const MIN_PER_SECOND = 0.1;
 
-export class PacedQuota {
+export class RequestPacer {
   /** When the next request would be due at an even pace; own clock. */
   #dueMs = -Infinity;
 
@@ -24,11 +24,11 @@
   }
 
   /** Takes the next turn, unless it comes later than `maxWaitMs` from now. */
-  claim(
+  reserve(
     perSecond: number,
     maxWaitMs: number,
     nowMs: number,
-  ): QuotaDecision {
+  ): PermitDecision {
     const waitMs = Math.max(0, this.#dueMs - BURST_MS - nowMs);
     if (waitMs > maxWaitMs) {
       return { kind: "refused", retryAfterMs: waitMs };
--- a/packages/routing/src/paced_quota_test.ts
+++ b/packages/routing/src/request_pacer_test.ts
@@ -1,26 +1,26 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { countMostWithin } from "@lentilspur/ports/window_count";
-import { PacedQuota } from "./paced_quota.ts";
+import { countMaxInWindow } from "@lentilspur/ports/window_count";
+import { RequestPacer } from "./request_pacer.ts";
 
 const WINDOW_MS = 4_000;
 
 test("a turn that comes too late is refused, with the time at which it comes", () => {
-  const quota = new PacedQuota();
-  assert.deepEqual(quota.claim(2, 0, 0), { kind: "granted", waitMs: 0 });
-  assert.deepEqual(quota.claim(2, 0, 0), { kind: "granted", waitMs: 0 });
-  assert.deepEqual(quota.claim(2, 400, 0), {
+  const quota = new RequestPacer();
+  assert.deepEqual(quota.reserve(2, 0, 0), { kind: "granted", waitMs: 0 });
+  assert.deepEqual(quota.reserve(2, 0, 0), { kind: "granted", waitMs: 0 });
+  assert.deepEqual(quota.reserve(2, 400, 0), {
     kind: "refused",
     retryAfterMs: 500,
   });
-  assert.deepEqual(quota.claim(2, 500, 0), { kind: "granted", waitMs: 500 });
+  assert.deepEqual(quota.reserve(2, 500, 0), { kind: "granted", waitMs: 500 });
 });
 
 test("a rate of nothing still lets a request through now and then", () => {
-  const quota = new PacedQuota();
-  quota.claim(0, 0, 0);
-  assert.equal(quota.claim(0, 0, 11_000).kind, "granted");
+  const quota = new RequestPacer();
+  quota.reserve(0, 0, 0);
+  assert.equal(quota.reserve(0, 0, 11_000).kind, "granted");
 });
 
 test("no window gets more than the rate and what half a second makes up for", () => {
@@ -34,17 +34,17 @@
   const rate = fc.double({ min: 0.5, max: 50, noNaN: true });
   fc.assert(
     fc.property(claims, rate, (list, perSecond) => {
-      const quota = new PacedQuota();
+      const quota = new RequestPacer();
       const starts: number[] = [];
       let nowMs = 0;
       for (const { gapMs, maxWaitMs } of list) {
         nowMs += gapMs;
-        const decision = quota.claim(perSecond, maxWaitMs, nowMs);
+        const decision = quota.reserve(perSecond, maxWaitMs, nowMs);
         if (decision.kind === "granted") {
           starts.push(nowMs + decision.waitMs);
         }
       }
-      const most = countMostWithin(starts, WINDOW_MS);
+      const most = countMaxInWindow(starts, WINDOW_MS);
       assert.ok(most <= perSecond * (WINDOW_MS + 500) / 1_000 + 1);
     }),
     { seed: 28, numRuns: 300 },
--- a/packages/routing/src/retry_allowance.ts
+++ b/packages/routing/src/retry_budget.ts
@@ -19,7 +19,7 @@
 /** Other instances count what they count: only this much of the limit is used. */
 const USED_SHARE = 0.6;
 
-export class RetryAllowance {
+export class RetryBudget {
   #limits: RetryLimits;
   #firstSends: number[] = [];
   #retries: number[] = [];
@@ -33,12 +33,12 @@
     this.#limits = limits;
   }
 
-  recordFirstSend(nowMs: number): void {
+  recordFirstAttempt(nowMs: number): void {
     this.#firstSends.push(nowMs);
   }
 
   /** Takes one second send; `instances` share the reserve. */
-  claim(instances: number, nowMs: number): boolean {
+  claimRetry(instances: number, nowMs: number): boolean {
     const oldest = nowMs - this.#limits.windowMs;
     this.#firstSends = removeBefore(this.#firstSends, oldest);
     this.#retries = removeBefore(this.#retries, oldest);
--- a/packages/routing/src/retry_allowance_test.ts
+++ b/packages/routing/src/retry_budget_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { RetryAllowance } from "./retry_allowance.ts";
+import { RetryBudget } from "./retry_budget.ts";
 
 const LIMITS = { ratio: 0.2, reserve: 64, windowMs: 10_000 };
 
@@ -11,15 +11,15 @@
   for (const instances of [1, 12, 76]) {
     const allowances = Array.from(
       { length: instances },
-      () => new RetryAllowance(LIMITS),
+      () => new RetryBudget(LIMITS),
     );
     let retries = 0;
     const requests = 1_200;
     for (let index = 0; index < requests; index++) {
       const allowance = allowances[index % instances]!;
       const nowMs = index * 8;
-      allowance.recordFirstSend(nowMs);
-      retries += allowance.claim(instances, nowMs) ? 1 : 0;
+      allowance.recordFirstAttempt(nowMs);
+      retries += allowance.claimRetry(instances, nowMs) ? 1 : 0;
     }
     assert.ok(retries <= LIMITS.ratio * requests + LIMITS.reserve);
     assert.ok(retries > 0.05 * requests, `${retries} of ${requests}`);
@@ -27,19 +27,19 @@
 });
 
 test("what was sent again long ago is allowed anew", () => {
-  const allowance = new RetryAllowance({ ...LIMITS, ratio: 0, reserve: 2 });
-  assert.ok(allowance.claim(1, 0));
-  assert.ok(!allowance.claim(1, 5_000));
-  assert.ok(allowance.claim(1, 10_001));
+  const allowance = new RetryBudget({ ...LIMITS, ratio: 0, reserve: 2 });
+  assert.ok(allowance.claimRetry(1, 0));
+  assert.ok(!allowance.claimRetry(1, 5_000));
+  assert.ok(allowance.claimRetry(1, 10_001));
 });
 
 test("new limits do not open a new window", () => {
   // The settings change while second sends are at their limit. Counted anew,
   // they would come to twice the limit within one window.
   const limits = { ratio: 0, reserve: 10, windowMs: 10_000 };
-  const allowance = new RetryAllowance(limits);
+  const allowance = new RetryBudget(limits);
   const count = () =>
-    Array.from({ length: 20 }, () => allowance.claim(1, 0))
+    Array.from({ length: 20 }, () => allowance.claimRetry(1, 0))
       .filter((isClaimed) => isClaimed).length;
   assert.equal(count(), 6);
   allowance.setLimits({ ...limits, ratio: 0.1 });
--- a/packages/routing/src/route_index.ts
+++ b/packages/routing/src/route_index.ts
@@ -13,7 +13,7 @@
   readonly path: string;
 }
 
-export interface RouteHit {
+export interface MatchedRoute {
   readonly route: Route;
   /** The segment of the path that is the key, where the route has one. */
   readonly keyText?: string;
@@ -50,7 +50,7 @@
     }
   }
 
-  match(request: RoutedRequest): RouteHit | undefined {
+  match(request: RoutedRequest): MatchedRoute | undefined {
     const plain = removeQuery(request.path);
     const route = this.#findByPrefix(request.host, plain);
     return route === undefined
@@ -63,7 +63,7 @@
     return routes?.find(([{ pathPrefix }]) => path.startsWith(pathPrefix))?.[1];
   }
 
-  #findByPattern(method: string, path: string): RouteHit | undefined {
+  #findByPattern(method: string, path: string): MatchedRoute | undefined {
     if (this.#byShape.size === 0) {
       return undefined;
     }
--- a/packages/routing/src/service_places.ts
+++ b/packages/routing/src/service_places.ts
@@ -16,14 +16,14 @@
 } from "@lentilspur/ports/routing_table";
 import { TargetLoad } from "./target_load.ts";
 import {
-  getLane,
-  type WaitCounts,
-  type Waiter,
-  type WaitingRequest,
-  WaitLine,
-} from "./wait_line.ts";
+  getQueueKey,
+  type QueuedRequest,
+  type QueueEntry,
+  type QueueLengths,
+  WaitQueue,
+} from "./wait_queue.ts";
 
-export interface PlaceRequest extends WaitingRequest {
+export interface PlaceRequest extends QueuedRequest {
   /** Started later, it would be of no use to its caller. */
   readonly latestStartMs: number;
   /** Targets that have failed this request already. */
@@ -53,8 +53,8 @@
     readonly retryAfterMs: number;
   };
 
-type Settle = (decision: PlaceDecision) => void;
-type PlaceWaiter = Waiter<PlaceRequest, Settle>;
+type PlaceCallback = (decision: PlaceDecision) => void;
+type PlaceWaiter = QueueEntry<PlaceRequest, PlaceCallback>;
 
 /**
  * Requests sent to a target beyond its places: a place does not stand empty while
@@ -101,7 +101,7 @@
 export class ServicePlaces {
   readonly #options: ServicePlacesOptions;
   readonly #loads = new Map<string, TargetLoad>();
-  readonly #line = new WaitLine<PlaceRequest, Settle>();
+  readonly #line = new WaitQueue<PlaceRequest, PlaceCallback>();
   #maxWaitingPerTarget = Infinity;
 
   constructor(options: ServicePlacesOptions) {
@@ -113,18 +113,18 @@
   }
 
   /** Requests that wait here; under the empty name those for any target. */
-  countWaits(): WaitCounts {
-    return this.#line.countWaits();
+  countQueued(): QueueLengths {
+    return this.#line.countQueued();
   }
 
   /** `instances`: how many have these together. */
-  setPeerWaits(
+  setPeerQueueLengths(
     peer: string,
-    counts: WaitCounts,
+    counts: QueueLengths,
     nowMs: number,
     instances = 1,
   ): void {
-    this.#line.setPeerWaits(peer, { counts, instances, atMs: nowMs });
+    this.#line.setPeerQueueLengths(peer, { counts, instances, atMs: nowMs });
   }
 
   /** Takes over the targets that there are now. */
@@ -161,7 +161,7 @@
   }
 
   /** Decides at once, or later through `settle`. */
-  offer(
+  submit(
     request: PlaceRequest,
     nowMs: number,
     settle: (decision: PlaceDecision) => void,
@@ -172,7 +172,7 @@
       return;
     }
     this.#line.add(request, settle);
-    this.advance(nowMs);
+    this.dispatchQueued(nowMs);
   }
 
   /** The caller has left, or its request is given up. */
@@ -181,7 +181,7 @@
   }
 
   /** Places what can be placed and refuses what has waited too long. */
-  advance(nowMs: number): void {
+  dispatchQueued(nowMs: number): void {
     if (this.#line.size === 0) {
       return;
     }
@@ -200,14 +200,14 @@
         settled.push(() => waiter.extra(decision));
       }
     }
-    this.#line.setWaiting(stay);
+    this.#line.setEntries(stay);
     for (const settle of settled) {
       settle();
     }
   }
 
   /** Work of one request at the service's targets, on average; null if unknown. */
-  getUsualServiceMs(): number | null {
+  getAverageServiceMs(): number | null {
     let sum = 0;
     let count = 0;
     for (const load of this.#loads.values()) {
@@ -225,7 +225,7 @@
     fullLanes: Set<string>,
   ): PlaceDecision | undefined {
     const waitedMs = nowMs - request.arrivedAtMs;
-    const lane = getLane(request);
+    const lane = getQueueKey(request);
     const load = fullLanes.has(lane) ? undefined : this.#choose(request, nowMs);
     if (load === undefined && request.excluded.size === 0) {
       fullLanes.add(lane);
@@ -270,7 +270,7 @@
     request: PlaceRequest,
     nowMs: number,
   ): TargetLoad | undefined {
-    const usualMs = this.getUsualServiceMs();
+    const usualMs = this.getAverageServiceMs();
     const leftMs = request.latestStartMs + (usualMs ?? 0) - nowMs;
     let best: TargetLoad | undefined;
     let bestMs = Infinity;
@@ -278,7 +278,7 @@
     let mayWait = false;
     const chance = this.#computeChance();
     for (const load of this.#listUsable(request, nowMs)) {
-      const answerMs = load.estimateAnswerMs(nowMs, usualMs) +
+      const answerMs = load.estimateResponseMs(nowMs, usualMs) +
         this.#options.estimateTurnMs(load.target);
       mayWait ||= load.estimateServiceMs(nowMs, usualMs) <= leftMs;
       const costMs = (1 + chance * this.#options.random.draw()) *
@@ -360,7 +360,7 @@
     const owner = request.owner === undefined
       ? undefined
       : this.#loads.get(request.owner);
-    const usualMs = this.getUsualServiceMs();
+    const usualMs = this.getAverageServiceMs();
     const serviceMs = owner?.estimateServiceMs(nowMs, usualMs) ?? usualMs ?? 0;
     const places = Math.max(1, this.#countPlaces(request));
     return Math.max(MIN_RETRY_MS, ahead * serviceMs / places);
--- a/packages/routing/src/service_places_test.ts
+++ b/packages/routing/src/service_places_test.ts
@@ -54,7 +54,7 @@
   nowMs = 0,
 ): { decision?: PlaceDecision } {
   const result: { decision?: PlaceDecision } = {};
-  places.offer(request, nowMs, (decision) => result.decision = decision);
+  places.submit(request, nowMs, (decision) => result.decision = decision);
   return result;
 }
 
@@ -72,7 +72,7 @@
     .map((n) => offer(places, createRequest(`${n}`)));
   assert.deepEqual(results.map(getTarget), ["a", "a", "a", "a", undefined]);
   places.getLoad("a")!.recordEnded("1");
-  places.advance(10);
+  places.dispatchQueued(10);
   assert.equal(getTarget(results[4]!), "a");
 });
 
@@ -110,7 +110,7 @@
   const late = offer(places, createRequest("late", { rank: 2 }));
   const urgent = offer(places, createRequest("urgent", { rank: 0 }), 5);
   places.getLoad("a")!.recordEnded("1");
-  places.advance(10);
+  places.dispatchQueued(10);
   assert.equal(getTarget(urgent), "a");
   assert.equal(late.decision, undefined);
 });
@@ -123,7 +123,7 @@
   for (let n = 0; n < 3; n++) {
     offer(places, createRequest(`running-${n}`));
   }
-  load.recordAnswer(100, 0);
+  load.recordResponse(100, 0);
   let refusedAt = -1;
   for (let n = 0; n < 40 && refusedAt < 0; n++) {
     const { decision } = offer(places, createRequest(`${n}`));
@@ -135,8 +135,8 @@
 
 test("requests that wait elsewhere are ahead as well", () => {
   const places = createPlaces(createTarget("a"));
-  places.getLoad("a")!.recordAnswer(100, 0);
-  places.setPeerWaits("other", new Map([["", [0, 20]]]), 0);
+  places.getLoad("a")!.recordResponse(100, 0);
+  places.setPeerQueueLengths("other", new Map([["", [0, 20]]]), 0);
   assert.equal(offer(places, createRequest("1")).decision?.kind, "refused");
 });
 
@@ -144,8 +144,8 @@
   // Lookups flood a service. Counted as ahead of everything, they would have a
   // settlement refused that goes before all of them.
   const places = createPlaces(createTarget("a"));
-  places.getLoad("a")!.recordAnswer(100, 0);
-  places.setPeerWaits("other", new Map([["", [0, 0, 50]]]), 0);
+  places.getLoad("a")!.recordResponse(100, 0);
+  places.setPeerQueueLengths("other", new Map([["", [0, 0, 50]]]), 0);
   assert.equal(
     getTarget(offer(places, createRequest("1", { rank: 0 }))),
     "a",
@@ -161,8 +161,8 @@
   // be late for certain; the fast one has room for it in time.
   const places = createPlaces(createTarget("slow"), createTarget("fast"));
   for (let count = 0; count < 30; count++) {
-    places.getLoad("slow")!.recordAnswer(900, 0);
-    places.getLoad("fast")!.recordAnswer(50, 0);
+    places.getLoad("slow")!.recordResponse(900, 0);
+    places.getLoad("fast")!.recordResponse(50, 0);
   }
   const changes = { latestStartMs: 100 };
   for (const n of [1, 2, 3, 4]) {
@@ -174,7 +174,7 @@
   const waiting = offer(places, createRequest("5", changes));
   assert.equal(waiting.decision, undefined);
   places.getLoad("fast")!.recordEnded("1");
-  places.advance(20);
+  places.dispatchQueued(20);
   assert.equal(getTarget(waiting), "fast");
 });
 
@@ -183,13 +183,13 @@
   // whole deadlines in vain, although it is known.
   const places = createPlaces(createTarget("a"), createTarget("b"));
   const load = places.getLoad("a")!;
-  load.recordSilence(0);
-  load.recordSilence(0);
-  load.recordSilence(0);
+  load.recordUnresponsive(0);
+  load.recordUnresponsive(0);
+  load.recordUnresponsive(0);
   const result = offer(places, createRequest("1", { owner: "a" }));
-  places.advance(100);
+  places.dispatchQueued(100);
   assert.equal(result.decision, undefined);
-  places.advance(300);
+  places.dispatchQueued(300);
   assert.deepEqual(result.decision, {
     kind: "refused",
     reason: "owner-silent",
@@ -203,7 +203,7 @@
   const places = createPlaces(createTarget("a"), createTarget("b"));
   for (let n = 0; n < 30; n++) {
     places.getLoad("a")!.recordFailure(n);
-    places.getLoad("b")!.recordAnswer(80, 0);
+    places.getLoad("b")!.recordResponse(80, 0);
   }
   const chosen = [1, 2].map((n) =>
     getTarget(
@@ -220,14 +220,14 @@
   const places = createPlaces(createTarget("a"));
   const load = places.getLoad("a")!;
   for (let count = 0; count < 20; count++) {
-    load.recordAnswer(50, 1);
+    load.recordResponse(50, 1);
   }
   for (let count = 0; count < 50; count++) {
-    load.recordAnswer(150, 2);
+    load.recordResponse(150, 2);
   }
   assert.equal(Math.round(load.unloadedServiceMs!), 50);
   for (let count = 0; count < 50; count++) {
-    load.recordAnswer(600, 2);
+    load.recordResponse(600, 2);
   }
   assert.ok(load.unloadedServiceMs! > 300, "a target that turned slow shows");
 });
--- a/packages/routing/src/target_life.ts
+++ b/packages/routing/src/target_incarnation.ts
@@ -1,11 +1,13 @@
 /** One start of a target, however often its id is used. */
-export interface TargetLife {
+export interface TargetIncarnation {
   readonly id: string;
   /** When it began, in Unix milliseconds by its own clock, if it says so. */
   readonly bornMs?: number;
 }
 
 /** A name of this life alone. */
-export function formatLife({ id, bornMs }: TargetLife): string {
+export function formatTargetIncarnation(
+  { id, bornMs }: TargetIncarnation,
+): string {
   return `${id} ${bornMs ?? ""}`;
 }
--- a/packages/routing/src/target_load.ts
+++ b/packages/routing/src/target_load.ts
@@ -41,7 +41,7 @@
   #report = { others: 0, atMs: -Infinity };
   #serviceMs: number | null = null;
   /** As above, from answers that had nothing ahead of them. */
-  #calmServiceMs: number | null = null;
+  #uncontendedServiceMs: number | null = null;
   #failureShare = 0;
   #suspensionMs = 0;
   #suspendedUntilMs = -Infinity;
@@ -53,7 +53,7 @@
       this.#peers = previous.#peers;
       this.#report = previous.#report;
       this.#serviceMs = previous.#serviceMs;
-      this.#calmServiceMs = previous.#calmServiceMs;
+      this.#uncontendedServiceMs = previous.#uncontendedServiceMs;
       this.#failureShare = previous.#failureShare;
       this.#suspensionMs = previous.#suspensionMs;
       this.#suspendedUntilMs = previous.#suspendedUntilMs;
@@ -76,7 +76,7 @@
    * moved on and on. A target that has turned slow shows by more than that.
    */
   get unloadedServiceMs(): number | null {
-    const calm = this.#calmServiceMs;
+    const calm = this.#uncontendedServiceMs;
     const measured = this.#serviceMs;
     return calm === null || measured === null || measured > SLOW_FACTOR * calm
       ? measured
@@ -92,21 +92,21 @@
     this.#startedAt.delete(requestId);
   }
 
-  recordAnswer(elapsedMs: number, occupancyAtSend: number): void {
+  recordResponse(elapsedMs: number, occupancyAtSend: number): void {
     const ahead = Math.max(1, (occupancyAtSend + 1) / this.target.places);
     const sample = elapsedMs / ahead;
     const before = this.#serviceMs ?? sample;
     this.#serviceMs = before + SAMPLE_WEIGHT * (sample - before);
     if (occupancyAtSend < this.target.places) {
-      const calm = this.#calmServiceMs ?? sample;
-      this.#calmServiceMs = calm + SAMPLE_WEIGHT * (sample - calm);
+      const calm = this.#uncontendedServiceMs ?? sample;
+      this.#uncontendedServiceMs = calm + SAMPLE_WEIGHT * (sample - calm);
     }
     this.#failureShare *= 1 - SAMPLE_WEIGHT;
     this.#suspensionMs = 0;
   }
 
   /** No answer came in this time: the work takes at least about as long. */
-  recordSlow(elapsedMs: number): void {
+  recordTimeout(elapsedMs: number): void {
     const before = this.#serviceMs ?? elapsedMs;
     this.#serviceMs = Math.max(
       before,
@@ -130,7 +130,7 @@
   }
 
   /** Nothing reached the target, or nothing came back. */
-  recordSilence(nowMs: number): void {
+  recordUnresponsive(nowMs: number): void {
     this.#suspensionMs = Math.min(
       MAX_SUSPENSION_MS,
       Math.max(MIN_SUSPENSION_MS, 2 * this.#suspensionMs),
@@ -187,7 +187,7 @@
   }
 
   /** When a request that is sent now would be answered, counting failures. */
-  estimateAnswerMs(nowMs: number, usualMs: number | null): number {
+  estimateResponseMs(nowMs: number, usualMs: number | null): number {
     const ahead = (this.computeOccupancy(nowMs) + 1) / this.target.places;
     const success = Math.max(MIN_SUCCESS, 1 - this.#failureShare);
     return this.estimateServiceMs(nowMs, usualMs) * Math.max(1, ahead) /
--- a/packages/routing/src/broken_sends.ts
+++ b/packages/routing/src/unanswered_sends.ts
@@ -5,11 +5,11 @@
  * an answer is lost. A target that answers a later send has not ended; one whose
  * entry goes has, and so has one that nobody listens for any more.
  */
-import type { TargetLife } from "./target_life.ts";
+import type { TargetIncarnation } from "./target_incarnation.ts";
 
-export interface BrokenSend {
+export interface UnansweredSend {
   readonly fingerprint: string;
-  readonly target: TargetLife;
+  readonly target: TargetIncarnation;
   readonly sentAtMs: number;
   /** When it broke, or was given up; own clock. */
   readonly atMs: number;
@@ -27,13 +27,13 @@
 const MAX_PER_TARGET = 32;
 const MAX_TARGETS = 256;
 
-export class BrokenSends {
-  readonly #byTarget = new Map<string, BrokenSend[]>();
+export class UnansweredSends {
+  readonly #byTarget = new Map<string, UnansweredSend[]>();
   /** The last answers of two targets, while any send is broken. */
   #heard: readonly Heard[] = [];
 
   /** What was sent after the first one broke came to a target that had ended. */
-  record(send: BrokenSend): void {
+  record(send: UnansweredSend): void {
     const { target: { id }, sentAtMs, atMs } = send;
     const sends = (this.#byTarget.get(id) ?? [])
       .filter((one) => atMs - one.atMs <= VALID_MS);
@@ -47,7 +47,7 @@
   }
 
   /** The target has answered what was sent to it at this time. */
-  recordHeard(targetId: string, sentAtMs: number): void {
+  recordAnswered(targetId: string, sentAtMs: number): void {
     if (this.#byTarget.size === 0) {
       return;
     }
@@ -63,7 +63,7 @@
    * No connection to the target can be made: gives what broke there. Nothing
    * where no other target has answered since: it may be this instance's link.
    */
-  takeUnreachable(targetId: string, nowMs: number): readonly BrokenSend[] {
+  takeUnreachable(targetId: string, nowMs: number): readonly UnansweredSend[] {
     return this.#take(
       targetId,
       nowMs,
@@ -78,8 +78,8 @@
   takeEnded(
     targetId: string,
     nowMs: number,
-    begun?: TargetLife,
-  ): readonly BrokenSend[] {
+    begun?: TargetIncarnation,
+  ): readonly UnansweredSend[] {
     return this.#take(
       targetId,
       nowMs,
@@ -90,15 +90,15 @@
   #take(
     targetId: string,
     nowMs: number,
-    hasEnded: (send: BrokenSend) => boolean,
-  ): readonly BrokenSend[] {
+    hasEnded: (send: UnansweredSend) => boolean,
+  ): readonly UnansweredSend[] {
     const sends = (this.#byTarget.get(targetId) ?? [])
       .filter(({ atMs }) => nowMs - atMs <= VALID_MS);
     this.#set(targetId, sends.filter((send) => !hasEnded(send)));
     return sends.filter(hasEnded);
   }
 
-  #set(targetId: string, sends: BrokenSend[]): void {
+  #set(targetId: string, sends: UnansweredSend[]): void {
     if (sends.length === 0) {
       this.#byTarget.delete(targetId);
     } else {
--- a/packages/routing/src/broken_sends_test.ts
+++ b/packages/routing/src/unanswered_sends_test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { BrokenSends } from "./broken_sends.ts";
+import { UnansweredSends } from "./unanswered_sends.ts";
 
 const TARGET = { id: "t1", bornMs: 5 };
 
-function createBroken(): BrokenSends {
-  const broken = new BrokenSends();
+function createBroken(): UnansweredSends {
+  const broken = new UnansweredSends();
   broken.record({
     fingerprint: "f",
     target: TARGET,
@@ -17,13 +17,13 @@
 
 test("a target that answers a later send has not ended", () => {
   const broken = createBroken();
-  broken.recordHeard("t1", 101);
+  broken.recordAnswered("t1", 101);
   assert.equal(broken.takeEnded("t1", 200).length, 0);
 });
 
 test("an answer to what was sent before says nothing", () => {
   const broken = createBroken();
-  broken.recordHeard("t1", 99);
+  broken.recordAnswered("t1", 99);
   assert.equal(broken.takeEnded("t1", 200).length, 1);
 });
 
@@ -36,9 +36,9 @@
 
 test("what an instance without a link cannot reach has not ended for that", () => {
   const broken = createBroken();
-  broken.recordHeard("t2", 50);
+  broken.recordAnswered("t2", 50);
   assert.equal(broken.takeUnreachable("t1", 200).length, 0);
-  broken.recordHeard("t2", 150);
+  broken.recordAnswered("t2", 150);
   assert.equal(broken.takeUnreachable("t1", 200).length, 1);
 });
 
--- a/packages/routing/src/wait_line.ts
+++ b/packages/routing/src/wait_queue.ts
@@ -2,10 +2,10 @@
  * The requests that wait for one service's places at this instance, in the
  * order in which they get them, and what is known of those elsewhere.
  */
-import { FairOrder, type Share } from "./fair_order.ts";
+import { type AccountShare, FairScheduler } from "./fair_scheduler.ts";
 
 /** What decides about a request's turn. */
-export interface WaitingRequest {
+export interface QueuedRequest {
   readonly requestId: string;
   /** 0 is the most urgent. */
   readonly rank: number;
@@ -13,11 +13,11 @@
   /** The only target that may run it; undefined where any may. */
   readonly owner?: string;
   /** Whose it is, where accounts share the places. */
-  readonly share?: Share;
+  readonly share?: AccountShare;
 }
 
 /** One that waits, with what its user keeps beside it. */
-export interface Waiter<Request extends WaitingRequest, Extra> {
+export interface QueueEntry<Request extends QueuedRequest, Extra> {
   readonly request: Request;
   /** Its turn among requests of the same rank. */
   readonly tag: number;
@@ -25,11 +25,11 @@
 }
 
 /** Requests that wait, by the target that they wait for and by rank. */
-export type WaitCounts = ReadonlyMap<string, readonly number[]>;
+export type QueueLengths = ReadonlyMap<string, readonly number[]>;
 
 /** What waits at a peer, or at several together. */
-export interface PeerWaits {
-  readonly counts: WaitCounts;
+export interface PeerQueueLengths {
+  readonly counts: QueueLengths;
   readonly instances: number;
   readonly atMs: number;
 }
@@ -42,26 +42,26 @@
 const ANY_TARGET = "";
 
 /** Requests of one lane wait for the same places. */
-export function getLane({ owner }: WaitingRequest): string {
+export function getQueueKey({ owner }: QueuedRequest): string {
   return owner ?? ANY_TARGET;
 }
 
-export class WaitLine<Request extends WaitingRequest, Extra> {
-  readonly #peerWaits = new Map<string, PeerWaits>();
-  readonly #order = new FairOrder();
-  #waiters: Waiter<Request, Extra>[] = [];
+export class WaitQueue<Request extends QueuedRequest, Extra> {
+  readonly #peerWaits = new Map<string, PeerQueueLengths>();
+  readonly #order = new FairScheduler();
+  #waiters: QueueEntry<Request, Extra>[] = [];
 
   get size(): number {
     return this.#waiters.length;
   }
 
   /** Those that are to get places first come first. */
-  list(): readonly Waiter<Request, Extra>[] {
+  list(): readonly QueueEntry<Request, Extra>[] {
     return this.#waiters;
   }
 
   add(request: Request, extra: Extra): void {
-    const tag = this.#order.drawTag(request.share);
+    const tag = this.#order.assignStartTag(request.share);
     const waiter = { request, tag, extra };
     const index = this.#waiters.findIndex((other) => isBefore(waiter, other));
     if (index < 0) {
@@ -77,24 +77,24 @@
   }
 
   /** Only these wait on; they are in order. */
-  setWaiting(waiters: Waiter<Request, Extra>[]): void {
+  setEntries(waiters: QueueEntry<Request, Extra>[]): void {
     this.#waiters = waiters;
   }
 
   /** It was given a place. */
-  recordPlaced({ tag }: Waiter<Request, Extra>): void {
+  recordPlaced({ tag }: QueueEntry<Request, Extra>): void {
     this.#order.recordPlaced(tag);
   }
 
-  setPeerWaits(peer: string, waits: PeerWaits): void {
+  setPeerQueueLengths(peer: string, waits: PeerQueueLengths): void {
     this.#peerWaits.set(peer, waits);
   }
 
   /** By lane; under the empty name those for any target. */
-  countWaits(): WaitCounts {
+  countQueued(): QueueLengths {
     const counts = new Map<string, number[]>();
     for (const { request } of this.#waiters) {
-      const lane = getLane(request);
+      const lane = getQueueKey(request);
       const ofLane = counts.get(lane) ?? [];
       counts.set(lane, ofLane);
       const rank = Math.min(MAX_RANK, Math.max(0, Math.floor(request.rank)));
@@ -113,7 +113,7 @@
    */
   countAhead(request: Request, nowMs: number): number {
     let ahead = 0;
-    const own = { request, tag: this.#order.findTag(request.share) };
+    const own = { request, tag: this.#order.getNextStartTag(request.share) };
     for (const waiter of this.#waiters) {
       if (waiter.request.owner === request.owner && !isBefore(own, waiter)) {
         ahead++;
@@ -132,12 +132,12 @@
 
 /** What waits elsewhere and is no less urgent. */
 function countWaitsAhead(
-  peers: readonly PeerWaits[],
-  request: WaitingRequest,
+  peers: readonly PeerQueueLengths[],
+  request: QueuedRequest,
 ): number {
   let sum = 0;
   for (const { counts } of peers) {
-    const ofLane = counts.get(getLane(request)) ?? [];
+    const ofLane = counts.get(getQueueKey(request)) ?? [];
     for (let rank = 0; rank <= request.rank && rank < ofLane.length; rank++) {
       sum += ofLane[rank]!;
     }
@@ -146,7 +146,7 @@
 }
 
 interface Turn {
-  readonly request: WaitingRequest;
+  readonly request: QueuedRequest;
   readonly tag: number;
 }
 
--- a/packages/trials/src/load/places_simulation.ts
+++ b/packages/trials/src/load/places_simulation.ts
@@ -4,7 +4,7 @@
  * delays that a network has. What callers get is counted.
  */
 import type { KnownTarget } from "@lentilspur/ports/routing_table";
-import type { Share } from "@lentilspur/routing/fair_order";
+import type { AccountShare } from "@lentilspur/routing/fair_scheduler";
 import {
   type PlaceDecision,
   ServicePlaces,
@@ -27,7 +27,7 @@
   readonly deadlineMs: number;
   /** The only target that may run a request, where there is one. */
   readonly chooseOwner?: (random: TrafficRandom) => string;
-  readonly share?: Share;
+  readonly share?: AccountShare;
 }
 
 export interface LoadScenario {
@@ -183,7 +183,7 @@
 
   #scheduleTick(instance: number): void {
     this.#events.schedule(TICK_MS, () => {
-      this.#places[instance]!.advance(this.#events.nowMs);
+      this.#places[instance]!.dispatchQueued(this.#events.nowMs);
       this.#scheduleTick(instance);
     });
   }
@@ -194,7 +194,7 @@
       const own = this.#places[instance]!;
       const counts = own.listLoads()
         .map((load) => [load.target.id, load.ownCount] as const);
-      const waits = own.countWaits();
+      const waits = own.countQueued();
       this.#places.forEach((places, other) => {
         const isNear =
           this.#getDataCentre(other) === this.#getDataCentre(instance);
@@ -204,8 +204,8 @@
             for (const [id, count] of counts) {
               places.getLoad(id)?.setPeerCount(`${instance}`, count, nowMs);
             }
-            places.setPeerWaits(`${instance}`, waits, nowMs);
-            places.advance(nowMs);
+            places.setPeerQueueLengths(`${instance}`, waits, nowMs);
+            places.dispatchQueued(nowMs);
           });
         }
       });
@@ -222,12 +222,13 @@
     const owner = chooseOwner?.(this.#random);
     this.#counters[stream]!.asked++;
     const places = this.#places[instance]!;
-    places.offer(
+    places.submit(
       {
         requestId,
         rank,
         arrivedAtMs: nowMs,
-        latestStartMs: nowMs + goalMs - (places.getUsualServiceMs() ?? workMs),
+        latestStartMs: nowMs + goalMs -
+          (places.getAverageServiceMs() ?? workMs),
         excluded: new Set(),
         ...(owner === undefined ? {} : { owner }),
         ...(share === undefined ? {} : { share }),
@@ -265,12 +266,12 @@
         const { nowMs } = this.#events;
         const load = places.getLoad(target.id)!;
         load.recordEnded(requestId);
-        load.recordAnswer(nowMs - sentAtMs, occupancy);
+        load.recordResponse(nowMs - sentAtMs, occupancy);
         load.recordReport(queue.load, nowMs);
         const tookMs = nowMs - arrivedAtMs;
         counter.inTime += tookMs <= goalMs ? 1 : 0;
         counter.late += tookMs > goalMs ? 1 : 0;
-        places.advance(nowMs);
+        places.dispatchQueued(nowMs);
       });
     const workMs = this.#random.drawService(this.#scenario.workMs);
     this.#events.schedule(TRAVEL_MS, () => queue.add({ workMs, finish }));
--- a/packages/trials/src/measure/ownership_measurement.ts
+++ b/packages/trials/src/measure/ownership_measurement.ts
@@ -22,7 +22,7 @@
   {
     name: "a target cannot be reached and leaves the list",
     inject: (world) => {
-      world.holders.setMood("a", "unreachable");
+      world.holders.setFaultMode("a", "unreachable");
       world.setCandidates(TARGETS.slice(1));
     },
   },
--- a/packages/trials/src/soak/soak_faults.ts
+++ b/packages/trials/src/soak/soak_faults.ts
@@ -4,7 +4,7 @@
  * size. Several may be at work at once.
  */
 import { setTimeout as sleep } from "node:timers/promises";
-import type { StoreMood } from "@lentilspur/ports/fake_store";
+import type { StoreFaultMode } from "@lentilspur/ports/fake_store";
 import type { Trial } from "../start/once.ts";
 import type { InstanceProcess, TargetProcess } from "../start/processes.ts";
 import { readMachineMs } from "../traffic/caller.ts";
@@ -238,7 +238,7 @@
     });
   }
 
-  async #failStore(mood: StoreMood): Promise<string> {
+  async #failStore(mood: StoreFaultMode): Promise<string> {
     if (this.#taken.has("store")) {
       return "nothing: the store fails already";
     }
--- a/packages/trials/src/start/processes.ts
+++ b/packages/trials/src/start/processes.ts
@@ -2,7 +2,7 @@
 import { mkdirSync } from "node:fs";
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
-import type { StoreMood } from "@lentilspur/ports/fake_store";
+import type { StoreFaultMode } from "@lentilspur/ports/fake_store";
 import { request } from "undici";
 import { readMachineMs } from "../traffic/caller.ts";
 import type { Deployment, TargetGroup } from "../traffic/deployment.ts";
@@ -179,7 +179,7 @@
   }
 
   /** How the store treats calls from now on. */
-  async setStoreMood(mood: StoreMood): Promise<void> {
+  async setStoreMood(mood: StoreFaultMode): Promise<void> {
     await sendJson(`http://${this.#storeAddress}/standin/mood`, { mood });
   }
 
--- a/packages/trials/src/traffic/target_limit.ts
+++ b/packages/trials/src/traffic/target_limit.ts
@@ -1,6 +1,6 @@
 /** Whether targets got no more than what they said that they take. */
 import type { TargetRun } from "@lentilspur/ports/fake_target";
-import { countMostWithin } from "@lentilspur/ports/window_count";
+import { countMaxInWindow } from "@lentilspur/ports/window_count";
 
 /** A time in which a target named a limit; machine time. */
 export interface LimitSpan {
@@ -37,5 +37,5 @@
     .filter((run) => run.target === target)
     .map(({ startedAtMs }) => startedAtMs)
     .filter((atMs) => atMs >= fromMs + LEARNING_MS && atMs < toMs);
-  return countMostWithin(times, WINDOW_MS);
+  return countMaxInWindow(times, WINDOW_MS);
 }
