--- a/packages/cli/src/declared_instance.ts
+++ b/packages/cli/src/declared_instance.ts
@@ -2,9 +2,9 @@
 import { randomUUID } from "node:crypto";
 import process from "node:process";
 import { decodePublishedRouting } from "@lentilspur/declarations/publication";
-import { readDeclaredFields } from "@lentilspur/gateway/entry/declared_fields";
+import { parseRequestMetadata } from "@lentilspur/gateway/entry/request_metadata";
 import { Instance } from "@lentilspur/gateway/instance";
-import { resolveStopTiming } from "@lentilspur/gateway/entry/stop_timing";
+import { computeShutdownTiming } from "@lentilspur/gateway/entry/graceful_shutdown";
 import { createAdapter } from "@lentilspur/platform/adapter";
 import { createDeclaredAdapter } from "@lentilspur/platform/declared_adapter";
 import { SystemClock } from "@lentilspur/ports/system_clock";
@@ -24,13 +24,13 @@
     createAdapter: ({ observeStoreCall }) =>
       createDeclaredAdapter(createAdapter(settings, clock, observeStoreCall), {
         decodeConfiguration: decodePublishedRouting,
-        readFields: (headers) => readDeclaredFields(headers, randomUUID),
+        readFields: (headers) => parseRequestMetadata(headers, randomUUID),
       }),
   });
   await instance.start();
   return {
     host: gateway.host,
     ports: instance.ports,
-    stop: () => instance.stop(resolveStopTiming(gateway.gracePeriodMs)),
+    stop: () => instance.stop(computeShutdownTiming(gateway.gracePeriodMs)),
   };
 }
--- a/packages/cli/src/setting_values.ts
+++ b/packages/cli/src/setting_values.ts
@@ -5,7 +5,7 @@
  */
 import type { ResolvedGatewaySettings } from "@lentilspur/gateway/gateway_settings";
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
-import { MIN_GRACE_MS } from "@lentilspur/gateway/entry/stop_timing";
+import { MIN_GRACE_PERIOD_MS } from "@lentilspur/gateway/entry/graceful_shutdown";
 import {
   getFlagName,
   getVariableName,
@@ -101,9 +101,9 @@
 ): readonly string[] {
   const gracePeriod = values.get("gracePeriod");
   const faults: string[] = [];
-  if (typeof gracePeriod === "number" && gracePeriod < MIN_GRACE_MS) {
+  if (typeof gracePeriod === "number" && gracePeriod < MIN_GRACE_PERIOD_MS) {
     faults.push(
-      `--grace-period is shorter than the ${MIN_GRACE_MS} ms in which requests in progress are finished; make it longer`,
+      `--grace-period is shorter than the ${MIN_GRACE_PERIOD_MS} ms in which requests in progress are finished; make it longer`,
     );
   }
   return faults;
--- a/packages/gateway/src/entry/account_gate.ts
+++ b/packages/gateway/src/entry/account_admission.ts
@@ -29,7 +29,7 @@
 
 const BEARER_PATTERN = /^bearer +(\S+) *$/i;
 
-export class AccountGate {
+export class AccountAdmission {
   readonly limiter = new AccountLimiter({ instanceCount: 1 });
   readonly #clock: Clock;
   #access: CallerAccess = { kind: "open" };
--- a/packages/gateway/src/entry/account_demands.ts
+++ b/packages/gateway/src/entry/account_demands.ts
@@ -12,7 +12,7 @@
   AccountLimiter,
   InstanceDemand,
 } from "@lentilspur/routing/account_limiter";
-import type { AccountGate } from "./account_gate.ts";
+import type { AccountAdmission } from "./account_admission.ts";
 import type { Member } from "../members/members.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 
@@ -21,8 +21,8 @@
 export interface AccountDemandsOptions {
   readonly clock: Clock;
   readonly instance: string;
-  readonly gate: AccountGate;
-  readonly listOthers: () => readonly Member[];
+  readonly accounts: AccountAdmission;
+  readonly listPeers: () => readonly Member[];
   readonly send: (member: Member, message: PeerMessage) => void;
 }
 
@@ -52,7 +52,7 @@
   }
 
   async run(signal: AbortSignal): Promise<void> {
-    const { clock, gate } = this.#options;
+    const { clock, accounts: gate } = this.#options;
     while (!signal.aborted) {
       if (!gate.isOpen) {
         this.#sendDemands();
@@ -63,7 +63,13 @@
   }
 
   #sendDemands(): void {
-    const { clock, instance: from, gate, listOthers, send } = this.#options;
+    const {
+      clock,
+      instance: from,
+      accounts: gate,
+      listPeers: listOthers,
+      send,
+    } = this.#options;
     const demands = gate.limiter.listDemands(clock.readMs())
       .toSorted((left, right) => right.perSecond - left.perSecond)
       .slice(0, MAX_DEMANDS);
--- a/packages/gateway/src/entry/caller_request.ts
+++ b/packages/gateway/src/entry/caller_request.ts
@@ -4,7 +4,7 @@
 import type { TargetResponse } from "@lentilspur/ports/request_sender";
 
 /** Fields that callers send in headers; the adapter knows under which names. */
-export interface CallerFields {
+export interface RequestMetadata {
   /** Names one attempt of a caller. */
   readonly requestId: string | undefined;
   /** How long the caller waits, counted from when it sent. */
@@ -15,7 +15,7 @@
   readonly credential: string | undefined;
 }
 
-export interface CallerRequest extends CallerFields {
+export interface CallerRequest extends RequestMetadata {
   readonly requestId: string;
   readonly method: string;
   readonly host: string;
--- a/packages/gateway/src/entry/stop_timing.ts
+++ b/packages/gateway/src/entry/graceful_shutdown.ts
@@ -4,7 +4,7 @@
 import type { RequestServer } from "./request_server.ts";
 
 /** Times of a graceful shutdown, counted from the signal. */
-export interface StopTiming {
+export interface ShutdownTiming {
   /** Without a request for this long, nobody is expected any more. */
   readonly quietMs: number;
   /** After this, new requests are refused. */
@@ -20,9 +20,9 @@
 /** What is begun before a kill by this much is finished; deadlines are about 2 s. */
 const LAST_REQUEST_MS = 2_300;
 /** Below this nothing could be finished before the kill. */
-export const MIN_GRACE_MS = LAST_REQUEST_MS + STOP_MARGIN_MS;
+export const MIN_GRACE_PERIOD_MS = LAST_REQUEST_MS + STOP_MARGIN_MS;
 
-export function resolveStopTiming(gracePeriodMs: number): StopTiming {
+export function computeShutdownTiming(gracePeriodMs: number): ShutdownTiming {
   return Object.freeze({
     quietMs: QUIET_MS,
     refuseAfterMs: gracePeriodMs - LAST_REQUEST_MS,
@@ -33,12 +33,12 @@
 /** Between two looks at whether anybody is still there. */
 const LOOK_MS = 100;
 
-export interface QuietOptions {
+export interface DrainOptions {
   readonly server: RequestServer;
   readonly clock: Clock;
-  readonly timing: StopTiming;
+  readonly timing: ShutdownTiming;
   /** Whether it keeps keys that it could not hand over yet. */
-  readonly isKeeping: () => boolean;
+  readonly hasKeys: () => boolean;
 }
 
 /**
@@ -46,8 +46,8 @@
  * nothing is left to hand over, or when the time is nearly over. Late in it, new
  * requests are refused.
  */
-export async function waitUntilQuiet(
-  { server, clock, timing, isKeeping }: QuietOptions,
+export async function waitUntilDrained(
+  { server, clock, timing, hasKeys: isKeeping }: DrainOptions,
 ): Promise<void> {
   const startedAtMs = clock.readMs();
   for (;;) {
--- a/packages/gateway/src/entry/side_server.ts
+++ b/packages/gateway/src/entry/monitoring_server.ts
@@ -2,16 +2,18 @@
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
 
-export interface SideAnswer {
+export interface MonitoringResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-export class SideServer {
+export class MonitoringServer {
   readonly #server: Server;
 
-  constructor(answer: (path: string) => SideAnswer | Promise<SideAnswer>) {
+  constructor(
+    answer: (path: string) => MonitoringResponse | Promise<MonitoringResponse>,
+  ) {
     this.#server = createServer((message, response) => {
       void Promise.resolve(answer(message.url ?? "/"))
         .then(({ status, contentType, body }) => {
--- a/packages/gateway/src/entry/declared_fields.ts
+++ b/packages/gateway/src/entry/request_metadata.ts
@@ -3,7 +3,7 @@
  * its client account, may say how long it waits, and is told the request's id.
  */
 import type { HeaderField } from "@lentilspur/ports/header_field";
-import type { CallerFields } from "./caller_request.ts";
+import type { RequestMetadata } from "./caller_request.ts";
 
 const REQUEST_ID = "lentilspur-request-id";
 const DEADLINE = "lentilspur-deadline-ms";
@@ -14,10 +14,10 @@
  * may be asking for a second attempt to count as the first, which a router that
  * keeps nothing of ended requests cannot do for work that may run once only.
  */
-export function readDeclaredFields(
+export function parseRequestMetadata(
   headers: readonly HeaderField[],
   mintId: () => string,
-): CallerFields {
+): RequestMetadata {
   const find = (wanted: string): string | undefined =>
     headers.find(({ name }) => name === wanted)?.value;
   return {
--- a/packages/gateway/src/entry/request_server.ts
+++ b/packages/gateway/src/entry/request_server.ts
@@ -17,9 +17,9 @@
   type ErrorKind,
 } from "@lentilspur/outcomes/error_kinds";
 import type {
-  CallerFields,
   CallerRequest,
   FinalResponse,
+  RequestMetadata,
 } from "./caller_request.ts";
 
 export interface RequestServerOptions {
@@ -28,7 +28,7 @@
   readonly port: number;
   /** For how long this process has just stood still, if it has. */
   readonly readStallMs: () => number;
-  readonly readFields: (headers: readonly HeaderField[]) => CallerFields;
+  readonly parseMetadata: (headers: readonly HeaderField[]) => RequestMetadata;
   readonly handle: (request: CallerRequest) => Promise<FinalResponse>;
   readonly reportFailure: (failure: {
     readonly requestId: string | undefined;
@@ -178,7 +178,7 @@
     signal: AbortSignal,
   ): Promise<CallerRequest | (FinalResponse & { readonly kind: "failed" })> {
     const headers = listFields(message.rawHeaders);
-    const fields = this.#options.readFields(headers);
+    const fields = this.#options.parseMetadata(headers);
     const { requestId } = fields;
     const body = await this.#readBody(message);
     const failure = !body.ok
--- a/packages/gateway/src/entry/request_server_test.ts
+++ b/packages/gateway/src/entry/request_server_test.ts
@@ -23,7 +23,7 @@
     host: "127.0.0.1",
     port: 0,
     readStallMs: () => 0,
-    readFields: (headers) => ({
+    parseMetadata: (headers) => ({
       requestId: headers.find(({ name }) => name === "x-id")?.value,
       deadlineMs: undefined,
       key: undefined,
--- a/packages/gateway/src/event_report.ts
+++ b/packages/gateway/src/event_report.ts
@@ -11,7 +11,7 @@
 import type { QuarantineEvent } from "./requests/request_quarantine.ts";
 import type { LimitEvent } from "./requests/target_limits.ts";
 import type { TailEvent } from "./views/partition_tail.ts";
-import type { RequestEvent } from "./requests/request_report.ts";
+import type { RequestEvent } from "./requests/request_reporter.ts";
 
 export class EventReport {
   readonly #lines: LineLog;
--- a/packages/gateway/src/instance.ts
+++ b/packages/gateway/src/instance.ts
@@ -10,7 +10,7 @@
 import type { StoreRecord } from "@lentilspur/ports/store";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
 import { AccountDemands } from "./entry/account_demands.ts";
-import { AccountGate } from "./entry/account_gate.ts";
+import { AccountAdmission } from "./entry/account_admission.ts";
 import { Catalogue } from "./views/catalogue.ts";
 import type { WithdrawalReason } from "./views/catalogue_event.ts";
 import { Duties } from "./members/duties.ts";
@@ -39,13 +39,16 @@
 import { RequestServer } from "./entry/request_server.ts";
 import { ServiceRegistry } from "./requests/service_registry.ts";
 import { choosePart } from "./keeper/service_part.ts";
-import { SideServer } from "./entry/side_server.ts";
-import { type StopTiming, waitUntilQuiet } from "./entry/stop_timing.ts";
+import { MonitoringServer } from "./entry/monitoring_server.ts";
+import {
+  type ShutdownTiming,
+  waitUntilDrained,
+} from "./entry/graceful_shutdown.ts";
 import { StoreViews } from "./views/store_views.ts";
 import { SuspensionGuard } from "./keeper/suspension_guard.ts";
 import { TableRequests } from "./views/table_requests.ts";
 import { TargetLimits } from "./requests/target_limits.ts";
-import { TargetTurns } from "./requests/target_turns.ts";
+import { TargetRateLimiter } from "./requests/target_rate_limiter.ts";
 import { ViewRelay } from "./views/view_relay.ts";
 
 /** Loops that end with the instance: a few, and one for each partition followed. */
@@ -75,19 +78,19 @@
   readonly #views: StoreViews;
   readonly #quarantine: RequestQuarantine;
   readonly #limits: TargetLimits;
-  readonly #turns: TargetTurns;
+  readonly #turns: TargetRateLimiter;
   readonly #router: RequestRouter;
   readonly #server: RequestServer;
   readonly #keepers: KeeperService;
   readonly #relay: ViewRelay;
   readonly #tables: TableRequests;
-  readonly #accounts: AccountGate;
+  readonly #accounts: AccountAdmission;
   readonly #demands: AccountDemands;
   readonly #peers: PeerExchange;
   readonly #loads: LoadExchange;
   readonly #dispatch: PeerDispatch;
-  readonly #ready: SideServer;
-  readonly #metricsServer: SideServer;
+  readonly #ready: MonitoringServer;
+  readonly #metricsServer: MonitoringServer;
   readonly #keyTraffic: KeyTraffic;
   readonly #status: InstanceStatus;
   #drainMs: number;
@@ -128,7 +131,7 @@
       countInstances: () => this.#members.count,
       estimateTurnMs: (target) => this.#turns.estimateWaitMs(target),
     });
-    this.#accounts = new AccountGate(clock);
+    this.#accounts = new AccountAdmission(clock);
     this.#views = this.#createViews();
     this.#quarantine = this.#createQuarantine();
     this.#limits = this.#createLimits();
@@ -159,8 +162,8 @@
       tables: this.#tables,
       reportFault: (message) => this.#report.reportFault(message),
     });
-    this.#ready = new SideServer((path) => this.#status.answer(path));
-    this.#metricsServer = new SideServer(async () => ({
+    this.#ready = new MonitoringServer((path) => this.#status.answer(path));
+    this.#metricsServer = new MonitoringServer(async () => ({
       status: 200,
       contentType: "text/plain; version=0.0.4",
       body: await this.#metrics.render(),
@@ -203,7 +206,7 @@
    * A graceful shutdown: not ready at once, duties handed over, every open
    * connection served until its clients have left or the time is nearly over.
    */
-  async stop(timing: StopTiming): Promise<void> {
+  async stop(timing: ShutdownTiming): Promise<void> {
     const { clock } = this.#options;
     this.#isStopping = true;
     this.#lines.log("stop", "notable", {
@@ -212,11 +215,11 @@
     });
     this.#server.drain();
     void this.#keepers.leave();
-    await waitUntilQuiet({
+    await waitUntilDrained({
       server: this.#server,
       clock,
       timing,
-      isKeeping: () => this.#keepers.isKeeping,
+      hasKeys: () => this.#keepers.isKeeping,
     });
     this.#close();
   }
@@ -244,7 +247,7 @@
       decodeTarget,
       observe: (event) => {
         this.#report.observeCatalogue(event);
-        this.#quarantine.observeCatalogue(event);
+        this.#quarantine.handleCatalogueEvent(event);
       },
     });
   }
@@ -301,9 +304,9 @@
     });
   }
 
-  #createTurns(): TargetTurns {
+  #createTurns(): TargetRateLimiter {
     const { clock } = this.#options;
-    return new TargetTurns({
+    return new TargetRateLimiter({
       ...this.#createPeerOptions(),
       limits: this.#limits,
       findMember: (name) => this.#members.get(name),
@@ -321,13 +324,13 @@
       accounts: this.#accounts,
       quarantine: this.#quarantine,
       limits: this.#limits,
-      turns: this.#turns,
+      rateLimiter: this.#turns,
       observeKey: (route, key) => this.#keyTraffic.observe(route, key),
       refreshOwners: (service) =>
         this.#views.checkOwners(this.#choosePart(service)),
       sender: this.#adapter.sender,
       isStopping: () => this.#isStopping,
-      getWithdrawnUseMs: (reason) => this.#getWithdrawnUseMs(reason),
+      getWithdrawalGraceMs: (reason) => this.#getWithdrawnUseMs(reason),
       observe: (event) => this.#report.observeRequest(event),
     });
   }
@@ -348,7 +351,7 @@
       host: settings.host,
       port: settings.requestPort,
       readStallMs: () => this.#services.readStallMs(),
-      readFields: this.#adapter.readFields,
+      parseMetadata: this.#adapter.readFields,
       handle: (request) => this.#router.handle(request),
       reportFailure: (failure) => this.#report.reportEarlyFailure(failure),
     });
@@ -422,7 +425,7 @@
     return new LoadExchange({
       ...this.#createPeerOptions(),
       members: this.#members,
-      readCounts: () => this.#services.countOwn(),
+      readCounts: () => this.#services.countOwnLoad(),
       applyCounts: (peer, counts) =>
         this.#services.applyPeerCounts(peer, counts),
       describeStanding: () => this.#describeStanding(),
@@ -465,7 +468,7 @@
     this.#status.recordConfiguration();
     this.#accounts.setAccess(table.access);
     this.#server.setLimits(table.limits);
-    this.#services.resetShares();
+    this.#services.resetTrafficSplit();
     this.#services.update();
     for (const service of table.services.values()) {
       if (service.keyed) {
@@ -578,8 +581,8 @@
     return new AccountDemands({
       clock: this.#options.clock,
       instance: this.#options.settings.instance,
-      gate: this.#accounts,
-      listOthers: () => this.#members.listPeers(),
+      accounts: this.#accounts,
+      listPeers: () => this.#members.listPeers(),
       send: (member, message) => void this.#peers.send([member], message),
     });
   }
--- a/packages/gateway/src/instance_options.ts
+++ b/packages/gateway/src/instance_options.ts
@@ -9,7 +9,7 @@
   RoutingTarget,
 } from "@lentilspur/ports/routing_table";
 import type { Store } from "@lentilspur/ports/store";
-import type { CallerFields } from "./entry/caller_request.ts";
+import type { RequestMetadata } from "./entry/caller_request.ts";
 import type {
   ResolvedGatewaySettings,
   StorePlaces,
@@ -21,7 +21,7 @@
   readonly orders: KeyOrderSender;
   readonly sender: RequestSender;
   readonly places: StorePlaces;
-  readonly readFields: (headers: readonly HeaderField[]) => CallerFields;
+  readonly readFields: (headers: readonly HeaderField[]) => RequestMetadata;
   readonly decodeConfiguration: (text: string) => Result<RoutingTable, string>;
   readonly decodeTarget: (
     id: string,
--- a/packages/gateway/src/instance_status.ts
+++ b/packages/gateway/src/instance_status.ts
@@ -5,7 +5,7 @@
 import type { GatewayGauges } from "./gateway_metrics.ts";
 import type { ResolvedGatewaySettings } from "./gateway_settings.ts";
 import type { LineLog } from "./line_log.ts";
-import type { SideAnswer } from "./entry/side_server.ts";
+import type { MonitoringResponse } from "./entry/monitoring_server.ts";
 
 export interface InstanceStatusOptions {
   readonly clock: Clock;
@@ -68,7 +68,7 @@
   }
 
   /** Any path but one asks whether it is ready. */
-  answer(path: string): SideAnswer {
+  answer(path: string): MonitoringResponse {
     if (path === STATUS_PATH) {
       return this.#answerStatus();
     }
@@ -101,7 +101,7 @@
     };
   }
 
-  #answerStatus(): SideAnswer {
+  #answerStatus(): MonitoringResponse {
     const { settings, incarnation, clock, catalogue } = this.#options;
     const { isReady, countOpen, listDuties } = this.#options;
     const status = {
--- a/packages/gateway/src/keeper/key_traffic.ts
+++ b/packages/gateway/src/keeper/key_traffic.ts
@@ -14,7 +14,7 @@
 import { KeyReport } from "./key_report.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 import type { ServiceRegistry } from "../requests/service_registry.ts";
-import type { TargetTurns } from "../requests/target_turns.ts";
+import type { TargetRateLimiter } from "../requests/target_rate_limiter.ts";
 
 type KeysMessage = PeerMessage & { readonly kind: "keys" };
 
@@ -24,7 +24,7 @@
   readonly catalogue: Catalogue;
   readonly services: ServiceRegistry;
   readonly keepers: KeeperService;
-  readonly turns: TargetTurns;
+  readonly turns: TargetRateLimiter;
   readonly choosePart: (service: string) => number;
   readonly sendPeer: (instance: string, message: PeerMessage) => void;
 }
@@ -100,7 +100,7 @@
 
   #createCandidate(target: RoutingTarget, usualMs: number): OwnerCandidate {
     const { id, address, bornMs, places } = target;
-    const limitPerSecond = this.#options.turns.getPerSecond(target);
+    const limitPerSecond = this.#options.turns.getLimitPerSecond(target);
     return {
       id,
       address,
--- a/packages/gateway/src/peers/peer_dispatch.ts
+++ b/packages/gateway/src/peers/peer_dispatch.ts
@@ -11,7 +11,7 @@
 import type { StoreViews } from "../views/store_views.ts";
 import type { TableRequests } from "../views/table_requests.ts";
 import type { TargetLimits } from "../requests/target_limits.ts";
-import type { TargetTurns } from "../requests/target_turns.ts";
+import type { TargetRateLimiter } from "../requests/target_rate_limiter.ts";
 import type { ViewRelay } from "../views/view_relay.ts";
 
 type MemberMessage = PeerMessage & { readonly kind: "member" };
@@ -28,7 +28,7 @@
   readonly keepers: KeeperService;
   readonly quarantine: RequestQuarantine;
   readonly limits: TargetLimits;
-  readonly turns: TargetTurns;
+  readonly turns: TargetRateLimiter;
   readonly tables: TableRequests;
   readonly reportFault: (message: string) => void;
 }
@@ -89,10 +89,10 @@
         limits.apply(message);
         return;
       case "quota-request":
-        turns.answer(message);
+        turns.handleRequest(message);
         return;
       case "quota":
-        turns.applyAnswer(message);
+        turns.handleResponse(message);
         return;
       case "pledge-request":
       case "pledge":
--- a/packages/gateway/src/requests/cold_targets_test.ts
+++ b/packages/gateway/src/requests/cold_targets_test.ts
@@ -1,17 +1,20 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { countMaxInWindow } from "@lentilspur/ports/window_count";
-import { DOZEN, listInstances, sendLoad } from "./request_load.ts";
-import { RequestWorld, type RequestWorldOptions } from "./request_world.ts";
+import { listInstances, sendLoad, TWELVE_INSTANCES } from "./request_load.ts";
+import {
+  RequestSimulation,
+  type RequestSimulationOptions,
+} from "./request_simulation.ts";
 
 const COLD_PER_SECOND = 5;
 /** In any second half as much again, and eight requests. */
 const ALLOWED = 1.5 * COLD_PER_SECOND + 8;
 const COLD_MS = 8_000;
 
-function createColdWorld(options: Partial<RequestWorldOptions> = {}) {
-  const world = new RequestWorld({
-    instances: DOZEN,
+function createColdWorld(options: Partial<RequestSimulationOptions> = {}) {
+  const world = new RequestSimulation({
+    instances: TWELVE_INSTANCES,
     targets: 4,
     keyed: true,
     coldPerSecond: COLD_PER_SECOND,
@@ -21,17 +24,17 @@
   return world;
 }
 
-function listTimes(world: RequestWorld, id: string): readonly number[] {
+function listTimes(world: RequestSimulation, id: string): readonly number[] {
   return world.arrivals.filter(({ targetId }) => targetId === id)
     .map(({ atMs }) => atMs);
 }
 
-function assertHeld(world: RequestWorld, id = "t1"): void {
+function assertHeld(world: RequestSimulation, id = "t1"): void {
   const most = countMaxInWindow(listTimes(world, id), 1_000);
   assert.ok(most <= ALLOWED, `${most} in a second, allowed ${ALLOWED}`);
 }
 
-function assertUsed(world: RequestWorld): void {
+function assertUsed(world: RequestSimulation): void {
   const used = listTimes(world, "t1").length;
   assert.ok(used >= 0.7 * COLD_PER_SECOND * COLD_MS / 1_000, `${used} used`);
 }
@@ -62,7 +65,7 @@
 /** A third of the targets are back, cold or not; callers come as usual. */
 async function measureReturn(isCold: boolean) {
   const instances = listInstances(60);
-  const world = new RequestWorld({
+  const world = new RequestSimulation({
     instances,
     targets: 9,
     keyed: false,
@@ -98,7 +101,7 @@
 test("a cold target's bound holds while instances restart and datagrams are lost", async () => {
   const world = createColdWorld({ lostDatagrams: 0.1 });
   for (let step = 0; step < 8; step++) {
-    world.restartInstance(world.findDecider("t1"));
+    world.restartInstance(world.findCoordinator("t1"));
     await sendLoad(world, { forMs: 1_000 });
   }
   assertHeld(world);
@@ -106,9 +109,9 @@
 
 test("a cold target's bound holds while half of the instances cannot ask", async () => {
   const world = createColdWorld();
-  const decider = world.findDecider("t1");
-  const cutOff = new Set(DOZEN.filter((_, nth) => nth % 2 === 0));
-  world.isReached = (from, to) => to !== decider || !cutOff.has(from);
+  const decider = world.findCoordinator("t1");
+  const cutOff = new Set(TWELVE_INSTANCES.filter((_, nth) => nth % 2 === 0));
+  world.isReachable = (from, to) => to !== decider || !cutOff.has(from);
   await sendLoad(world, { forMs: COLD_MS });
   assertHeld(world);
 });
--- a/packages/gateway/src/requests/evacuation_test.ts
+++ b/packages/gateway/src/requests/evacuation_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { RequestWorld } from "./request_world.ts";
+import { RequestSimulation } from "./request_simulation.ts";
 
 const INSTANCES = ["bole-0", "kirkos-1", "yeka-2"];
 const DATA_CENTRES = ["bole", "kirkos", "yeka"];
@@ -9,8 +9,8 @@
 /** For so long restored targets are taken for cold. */
 const PRESUMED_COLD_MS = 2_000;
 
-function createWorld(keyed: boolean): RequestWorld {
-  return new RequestWorld({
+function createWorld(keyed: boolean): RequestSimulation {
+  return new RequestSimulation({
     instances: INSTANCES,
     targets: 6,
     keyed,
@@ -20,7 +20,7 @@
 }
 
 /** Callers at all instances ask for all keys alike. */
-async function sendLoad(world: RequestWorld, forMs: number) {
+async function sendLoad(world: RequestSimulation, forMs: number) {
   const tally = { answered: 0, failed: 0 };
   const started = world.clock.readMs();
   for (let nth = 0; world.clock.readMs() - started < forMs; nth++) {
@@ -33,7 +33,11 @@
   return tally;
 }
 
-function countArrivals(world: RequestWorld, place: string, afterMs: number) {
+function countArrivals(
+  world: RequestSimulation,
+  place: string,
+  afterMs: number,
+) {
   return world.arrivals.filter(({ targetId, atMs }) =>
     world.getDataCentre(targetId) === place && atMs > afterMs
   ).length;
@@ -76,7 +80,7 @@
 });
 
 test("a request that waits for a place does not wait for an evacuated one", async () => {
-  const world = new RequestWorld({
+  const world = new RequestSimulation({
     instances: INSTANCES,
     targets: 3,
     keyed: false,
--- a/packages/gateway/src/requests/latest_start.ts
+++ b/packages/gateway/src/requests/latest_start.ts
@@ -5,17 +5,17 @@
  * later, a request takes a place from one that could still be in time; refused
  * at once, its caller knows and may come back.
  */
-import type { Passage } from "./passage.ts";
+import type { RequestContext } from "./request_context.ts";
 
 /** Work that takes nearly the whole goal is still waited for this share of it. */
 const MIN_WAIT_SHARE = 0.3;
 
 /** On the instance's own clock; `workMs` is the usual work of the service. */
 export function computeLatestStart(
-  passage: Passage,
+  passage: RequestContext,
   workMs: number,
 ): number {
-  const { request, route, endsAtMs, sends } = passage;
+  const { request, route, deadlineAtMs: endsAtMs, sends } = passage;
   const waitMs = Math.min(
     route.maxWaitMs ?? Infinity,
     Math.max(MIN_WAIT_SHARE * route.goalMs, route.goalMs - workMs),
--- a/packages/gateway/src/requests/outcome_settler.ts
+++ b/packages/gateway/src/requests/outcome_handler.ts
@@ -11,12 +11,12 @@
 import type { FinalResponse } from "../entry/caller_request.ts";
 import type { Catalogue } from "../views/catalogue.ts";
 import {
-  computeReturnMs,
+  type AttemptResult,
+  computeRetryAfterMs,
   createFailure,
-  type Passage,
+  type RequestContext,
   setRefusal,
-  type Step,
-} from "./passage.ts";
+} from "./request_context.ts";
 import type { ServiceRegistry } from "./service_registry.ts";
 
 /** A refused request is asked to come back at the earliest after this. */
@@ -24,43 +24,43 @@
 /** A target that refused is followed by another; a target that holds no such key is asked again after this. */
 const NOT_OWNER_PAUSE_MS = 60;
 
-export interface OutcomeSettlerOptions {
+export interface OutcomeHandlerOptions {
   readonly clock: Clock;
   readonly services: ServiceRegistry;
   readonly catalogue: Catalogue;
 }
 
-export class OutcomeSettler {
+export class OutcomeHandler {
   readonly #clock: Clock;
   readonly #services: ServiceRegistry;
   readonly #catalogue: Catalogue;
 
-  constructor({ clock, services, catalogue }: OutcomeSettlerOptions) {
+  constructor({ clock, services, catalogue }: OutcomeHandlerOptions) {
     this.#clock = clock;
     this.#services = services;
     this.#catalogue = catalogue;
   }
 
-  settle(
-    passage: Passage,
+  handle(
+    passage: RequestContext,
     target: RoutingTarget,
     outcome: SendOutcome,
-  ): Step {
+  ): AttemptResult {
     switch (outcome.kind) {
       case "answered":
         return { kind: "done", answer: outcome };
       case "not-run":
-        return this.#settleNotRun(passage, target, outcome);
+        return this.#handleNotRun(passage, target, outcome);
       case "unknown":
-        return this.#settleUnknown(passage, target, outcome);
+        return this.#handleUnknown(passage, target, outcome);
     }
   }
 
-  #settleNotRun(
-    passage: Passage,
+  #handleNotRun(
+    passage: RequestContext,
     target: RoutingTarget,
     outcome: SendOutcome & { readonly kind: "not-run" },
-  ): Step {
+  ): AttemptResult {
     const isUnreachable = outcome.cause === "unreachable";
     setRefusal(
       passage,
@@ -68,24 +68,24 @@
       { message: outcome.message, retryAfterMs: REFUSED_RETRY_MS },
     );
     if (outcome.cause !== "not-owner") {
-      passage.excluded.add(target.id);
+      passage.excludedTargets.add(target.id);
     }
     // What was never sent is no second arrival at the service.
     if (!isUnreachable && !this.claimRetry(passage)) {
-      return { kind: "done", answer: this.settleUnserved(passage) };
+      return { kind: "done", answer: this.createUnservedResponse(passage) };
     }
     const pauseMs = outcome.cause === "not-owner" ? NOT_OWNER_PAUSE_MS : 0;
     return { kind: "again", pauseMs };
   }
 
-  #settleUnknown(
-    passage: Passage,
+  #handleUnknown(
+    passage: RequestContext,
     target: RoutingTarget,
     outcome: SendOutcome & { readonly kind: "unknown" },
-  ): Step {
+  ): AttemptResult {
     passage.mayHaveRun = true;
     if (outcome.cause !== "silent") {
-      passage.excluded.add(target.id);
+      passage.excludedTargets.add(target.id);
     }
     const mayRetry = passage.route.idempotent &&
       outcome.cause !== "cancelled" && this.claimRetry(passage);
@@ -101,8 +101,8 @@
   }
 
   /** The final answer of a request that gets no place. */
-  settleRefusal(
-    passage: Passage,
+  createNoPlaceResponse(
+    passage: RequestContext,
     decision: PlaceDecision & { readonly kind: "refused" },
   ): FinalResponse {
     if (passage.mayHaveRun) {
@@ -111,15 +111,15 @@
         "Its answer was lost, and no other target has room",
       );
     }
-    const retryAfterMs = computeReturnMs(
+    const retryAfterMs = computeRetryAfterMs(
       passage,
       decision.retryAfterMs,
       this.#clock.readMs(),
     );
     switch (decision.reason) {
       case "no-target":
-        return passage.excluded.size > 0
-          ? this.settleUnserved(passage)
+        return passage.excludedTargets.size > 0
+          ? this.createUnservedResponse(passage)
           : createFailure(
             "no-target",
             this.#describeNoTarget(passage.service),
@@ -150,8 +150,8 @@
   }
 
   /** The final answer of a request that has crashed its targets. */
-  settleQuarantined(
-    passage: Passage,
+  createQuarantineResponse(
+    passage: RequestContext,
     { crashes, retryAfterMs }: SuspectDecision & {
       readonly kind: "quarantined";
     },
@@ -163,32 +163,32 @@
   }
 
   /** The final answer of a request whose one trial has not answered it. */
-  settleTrial(passage: Passage): FinalResponse {
+  createTrialResponse(passage: RequestContext): FinalResponse {
     return passage.mayHaveRun
       ? createFailure("answer-lost", "Its answer was lost again")
-      : this.settleUnserved(passage);
+      : this.createUnservedResponse(passage);
   }
 
   /** The target takes no more just now; another may, unless it owns the key. */
-  settleOverLimit(passage: Passage, refused: {
+  handleOverLimit(passage: RequestContext, refused: {
     readonly target: RoutingTarget;
     readonly retryAfterMs: number;
     readonly isOwner: boolean;
-  }): Step {
+  }): AttemptResult {
     const { target, retryAfterMs, isOwner } = refused;
     setRefusal(passage, "overloaded", {
       message: `Target "${target.id}" takes no more requests a second`,
       retryAfterMs,
     });
     if (isOwner) {
-      return { kind: "done", answer: this.settleUnserved(passage) };
+      return { kind: "done", answer: this.createUnservedResponse(passage) };
     }
-    passage.excluded.add(target.id);
+    passage.excludedTargets.add(target.id);
     return { kind: "again", pauseMs: 0 };
   }
 
   /** The final answer of a request that no further send can help. */
-  settleUnserved(passage: Passage): FinalResponse {
+  createUnservedResponse(passage: RequestContext): FinalResponse {
     if (passage.mayHaveRun) {
       return createFailure("answer-late", "No answer came in time");
     }
@@ -196,12 +196,12 @@
     return createFailure(
       failure,
       message,
-      computeReturnMs(passage, retryAfterMs, this.#clock.readMs()),
+      computeRetryAfterMs(passage, retryAfterMs, this.#clock.readMs()),
     );
   }
 
   /** Takes a second send, if the route and the budget allow one. */
-  claimRetry(passage: Passage): boolean {
+  claimRetry(passage: RequestContext): boolean {
     return passage.sends < passage.route.maxAttempts &&
       this.#services.claimRetry(passage.service);
   }
--- a/packages/gateway/src/requests/owner_finder.ts
+++ b/packages/gateway/src/requests/owner_finder.ts
@@ -3,7 +3,7 @@
 import type { Catalogue } from "../views/catalogue.ts";
 import type { WithdrawalReason } from "../views/catalogue_event.ts";
 import type { KeyDirectory } from "../views/key_directory.ts";
-import { type Passage, setRefusal } from "./passage.ts";
+import { type RequestContext, setRefusal } from "./request_context.ts";
 
 export type OwnerLookup =
   | {
@@ -16,7 +16,7 @@
   | {
     readonly kind: "wait";
     /** It will not have an owner soon: waiting for it is of no use. */
-    readonly isLong: boolean;
+    readonly isLongWait: boolean;
   };
 
 /** A key's move takes a release, a grant and two records: some 200 ms. */
@@ -37,7 +37,7 @@
   readonly catalogue: Catalogue;
   readonly directory: KeyDirectory;
   /** An owner is sent nothing later than this after it was withdrawn. */
-  readonly getWithdrawnUseMs: (reason: WithdrawalReason) => number;
+  readonly getWithdrawalGraceMs: (reason: WithdrawalReason) => number;
 }
 
 export class OwnerFinder {
@@ -47,7 +47,7 @@
     this.#options = options;
   }
 
-  find(passage: Passage): OwnerLookup {
+  find(passage: RequestContext): OwnerLookup {
     const { catalogue, directory } = this.#options;
     const { key } = passage;
     const service = catalogue.table?.services.get(passage.service);
@@ -62,7 +62,7 @@
         message: `Key ${key} is ${owner.kind}`,
         retryAfterMs: isLong ? LONG_MOVE_RETRY_MS : OWNER_RETRY_MS,
       });
-      return { kind: "wait", isLong };
+      return { kind: "wait", isLongWait: isLong };
     }
     const why = this.#findObstacle(owner.owner.id);
     if (why !== undefined) {
@@ -70,7 +70,7 @@
         message: `The owner of key ${key} is ${why}`,
         retryAfterMs: OWNER_RETRY_MS,
       });
-      return { kind: "wait", isLong: why === "evacuated" };
+      return { kind: "wait", isLongWait: why === "evacuated" };
     }
     const { id: targetId, token } = owner.owner;
     return { kind: "found", targetId, token, ownersOffset: owner.offset };
@@ -82,7 +82,8 @@
    * to a target that ends.
    */
   #findObstacle(id: string): WithdrawalReason | "gone" | undefined {
-    const { catalogue, clock, getWithdrawnUseMs } = this.#options;
+    const { catalogue, clock, getWithdrawalGraceMs: getWithdrawnUseMs } =
+      this.#options;
     if (catalogue.getTarget(id) === undefined) {
       return "gone";
     }
--- a/packages/gateway/src/requests/request_load.ts
+++ b/packages/gateway/src/requests/request_load.ts
@@ -1,16 +1,16 @@
 /** Callers at all instances of a world, who ask for all keys alike. For tests. */
 import { LAST_KEY } from "@lentilspur/ports/key_orders";
 import { SeededRandom } from "@lentilspur/ports/seeded_random";
-import type { RequestWorld } from "./request_world.ts";
+import type { RequestSimulation } from "./request_simulation.ts";
 
-export interface Tally {
+export interface ResponseCounts {
   answered: number;
   failed: number;
 }
 
 export interface RequestLoad {
   readonly forMs: number;
-  readonly everyMs?: number;
+  readonly intervalMs?: number;
   readonly instances?: readonly string[];
 }
 
@@ -24,13 +24,14 @@
   );
 }
 
-export const DOZEN = listInstances(12);
+export const TWELVE_INSTANCES = listInstances(12);
 
 /** What callers get, as far as it has come by the end. */
 export async function sendLoad(
-  world: RequestWorld,
-  { forMs, everyMs = EVERY_MS, instances = DOZEN }: RequestLoad,
-): Promise<Tally> {
+  world: RequestSimulation,
+  { forMs, intervalMs: everyMs = EVERY_MS, instances = TWELVE_INSTANCES }:
+    RequestLoad,
+): Promise<ResponseCounts> {
   const random = new SeededRandom(7);
   const tally = { answered: 0, failed: 0 };
   for (let atMs = 0; atMs < forMs; atMs += everyMs) {
--- a/packages/gateway/src/requests/request_quarantine.ts
+++ b/packages/gateway/src/requests/request_quarantine.ts
@@ -25,7 +25,7 @@
 } from "@lentilspur/routing/target_incarnation";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
 import type { CatalogueEvent } from "../views/catalogue_event.ts";
-import { getFingerprint, type Passage } from "./passage.ts";
+import { getFingerprint, type RequestContext } from "./request_context.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 import type { PeerOptions } from "../peers/peer_options.ts";
 import { splitReports } from "../peers/report_batches.ts";
@@ -63,7 +63,7 @@
 }
 
 /** What came of a send. */
-export interface SendEnd {
+export interface CompletedSend {
   readonly target: TargetIncarnation;
   readonly outcome: SendOutcome;
   readonly sentAtMs: number;
@@ -84,7 +84,7 @@
   readonly #broken = new UnansweredSends();
   readonly #suspects = new CrashSuspects();
   /** Until when a change that this instance observed is told again. */
-  readonly #news = new Map<string, number>();
+  readonly #recentChanges = new Map<string, number>();
   #listedAtMs = -Infinity;
 
   constructor(options: RequestQuarantineOptions) {
@@ -95,13 +95,13 @@
     return this.#suspects.countQuarantined();
   }
 
-  isQuarantined(passage: Passage): boolean {
+  isQuarantined(passage: RequestContext): boolean {
     return !this.#suspects.isEmpty && !passage.isTrial &&
       this.#suspects.isQuarantined(getFingerprint(passage));
   }
 
   /** Whether a request may be sent on now. */
-  admit(passage: Passage): SuspectDecision {
+  admit(passage: RequestContext): SuspectDecision {
     if (this.#suspects.isEmpty || passage.isTrial) {
       return { kind: "admitted" };
     }
@@ -116,7 +116,7 @@
     return decision;
   }
 
-  recordEnd(passage: Passage, end: SendEnd): void {
+  recordOutcome(passage: RequestContext, end: CompletedSend): void {
     const { target, outcome, sentAtMs } = end;
     const nowMs = this.#options.clock.readMs();
     switch (outcome.kind) {
@@ -143,7 +143,7 @@
   }
 
   /** An entry that goes, or names another life, shows that a target has ended. */
-  observeCatalogue(event: CatalogueEvent): void {
+  handleCatalogueEvent(event: CatalogueEvent): void {
     if (event.kind !== "target") {
       return;
     }
@@ -192,10 +192,10 @@
     const nowMs = clock.readMs();
     this.#suspects.expire(nowMs);
     const reports = new Map<string, SuspectReport>();
-    for (const [fingerprint, untilMs] of this.#news) {
+    for (const [fingerprint, untilMs] of this.#recentChanges) {
       const report = this.#suspects.describe(fingerprint, nowMs);
       if (report === undefined || nowMs > untilMs) {
-        this.#news.delete(fingerprint);
+        this.#recentChanges.delete(fingerprint);
       } else {
         reports.set(fingerprint, report);
       }
@@ -214,7 +214,7 @@
     const nowMs = this.#options.clock.readMs();
     const report = this.#suspects.describe(fingerprint, nowMs);
     if (report !== undefined) {
-      this.#news.set(fingerprint, nowMs + TOLD_AGAIN_MS);
+      this.#recentChanges.set(fingerprint, nowMs + TOLD_AGAIN_MS);
       this.#send([report]);
     }
   }
@@ -239,7 +239,7 @@
     }
   }
 
-  #clear(passage: Passage): void {
+  #clear(passage: RequestContext): void {
     if (this.#suspects.isEmpty) {
       return;
     }
@@ -254,7 +254,7 @@
 }
 
 /** Whether nothing has come back, and the target may have ended. */
-function hasNoAnswer({ outcome, isOverdue }: SendEnd): boolean {
+function hasNoAnswer({ outcome, isOverdue }: CompletedSend): boolean {
   if (outcome.kind !== "unknown") {
     return false;
   }
--- a/packages/gateway/src/requests/request_quarantine_test.ts
+++ b/packages/gateway/src/requests/request_quarantine_test.ts
@@ -1,7 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { FinalResponse } from "../entry/caller_request.ts";
-import { RequestWorld, type RequestWorldOptions } from "./request_world.ts";
+import {
+  RequestSimulation,
+  type RequestSimulationOptions,
+} from "./request_simulation.ts";
 
 const INSTANCES = ["bole-1", "bole-2", "kirkos-1", "kirkos-2", "yeka-1"];
 const FATAL = "/files/fatal";
@@ -15,9 +18,9 @@
 
 function createWorld(
   keyed: boolean,
-  options: Partial<RequestWorldOptions> = {},
-): RequestWorld {
-  return new RequestWorld({
+  options: Partial<RequestSimulationOptions> = {},
+): RequestSimulation {
+  return new RequestSimulation({
     instances: INSTANCES,
     targets: 12,
     keyed,
@@ -32,7 +35,7 @@
 
 /** Sends once and waits for the answer. */
 async function sendOnce(
-  world: RequestWorld,
+  world: RequestSimulation,
   instance: string,
   path: string,
 ): Promise<FinalResponse | undefined> {
@@ -44,7 +47,7 @@
 
 /** Sends an innocent request through all instances in turn. */
 async function sendInnocent(
-  world: RequestWorld,
+  world: RequestSimulation,
   { everyMs, forMs }: { readonly everyMs: number; readonly forMs: number },
 ): Promise<readonly (string | undefined)[]> {
   const answers: (string | undefined)[] = [];
@@ -59,7 +62,7 @@
 
 /** Sends the fatal request again and again, each time through another instance. */
 async function sendRepeatedly(
-  world: RequestWorld,
+  world: RequestSimulation,
   { everyMs, count }: { readonly everyMs: number; readonly count: number },
 ): Promise<void> {
   for (let nth = 0; nth < count; nth++) {
@@ -68,7 +71,7 @@
   }
 }
 
-function countLateSends(world: RequestWorld): number {
+function countLateSends(world: RequestSimulation): number {
   const third = world.crashes[2];
   assert.ok(third !== undefined, "fewer than three targets crashed");
   return world.countArrivals(FATAL, third.atMs + STABLE_MS);
--- a/packages/gateway/src/requests/request_report.ts
+++ b/packages/gateway/src/requests/request_reporter.ts
@@ -4,7 +4,7 @@
 import type { PlaceDecision } from "@lentilspur/routing/service_places";
 import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import type { OwnerLookup } from "./owner_finder.ts";
-import { getFingerprint, type Passage } from "./passage.ts";
+import { getFingerprint, type RequestContext } from "./request_context.ts";
 
 export type RequestEvent =
   | {
@@ -45,7 +45,7 @@
     readonly tookMs: number;
   };
 
-export class RequestReport {
+export class RequestReporter {
   readonly #clock: Clock;
   readonly #observe: (event: RequestEvent) => void;
 
@@ -54,7 +54,7 @@
     this.#observe = observe;
   }
 
-  reportSend(passage: Passage, sent: {
+  reportSend(passage: RequestContext, sent: {
     readonly placed: PlaceDecision & { readonly kind: "placed" };
     readonly owner: OwnerLookup & { readonly kind: "found" };
     readonly outcome: SendOutcome;
@@ -96,7 +96,7 @@
 
   reportFinal(
     request: CallerRequest,
-    passage: Passage | undefined,
+    passage: RequestContext | undefined,
     answer: FinalResponse,
   ): void {
     this.#observe({
--- a/packages/gateway/src/requests/request_router.ts
+++ b/packages/gateway/src/requests/request_router.ts
@@ -13,40 +13,44 @@
 import type { Route, RoutingTarget } from "@lentilspur/ports/routing_table";
 import type { MatchedRoute } from "@lentilspur/routing/route_index";
 import type { PlaceDecision } from "@lentilspur/routing/service_places";
-import type { AccountGate } from "../entry/account_gate.ts";
+import type { AccountAdmission } from "../entry/account_admission.ts";
 import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import type { Catalogue } from "../views/catalogue.ts";
 import type { WithdrawalReason } from "../views/catalogue_event.ts";
 import type { KeyDirectory } from "../views/key_directory.ts";
-import { AnswerWatch } from "./answer_watch.ts";
-import { OutcomeSettler, REFUSED_RETRY_MS } from "./outcome_settler.ts";
+import { SendAbortController } from "./send_abort_controller.ts";
+import { OutcomeHandler, REFUSED_RETRY_MS } from "./outcome_handler.ts";
 import type { PermitDecision } from "@lentilspur/routing/request_pacer";
 import { computeLatestStart } from "./latest_start.ts";
 import { hashPathKey } from "./path_key.ts";
 import { OwnerFinder, type OwnerLookup } from "./owner_finder.ts";
-import { createFailure, type Passage, type Step } from "./passage.ts";
-import { type RequestEvent, RequestReport } from "./request_report.ts";
+import {
+  type AttemptResult,
+  createFailure,
+  type RequestContext,
+} from "./request_context.ts";
+import { type RequestEvent, RequestReporter } from "./request_reporter.ts";
 import type { RequestQuarantine } from "./request_quarantine.ts";
 import type { ServiceRegistry } from "./service_registry.ts";
 import type { TargetLimits } from "./target_limits.ts";
-import type { TargetTurns } from "./target_turns.ts";
+import type { TargetRateLimiter } from "./target_rate_limiter.ts";
 
 export interface RequestRouterOptions {
   readonly clock: Clock;
   readonly catalogue: Catalogue;
   readonly directory: KeyDirectory;
   readonly services: ServiceRegistry;
-  readonly accounts: AccountGate;
+  readonly accounts: AccountAdmission;
   readonly quarantine: RequestQuarantine;
   readonly limits: TargetLimits;
-  readonly turns: TargetTurns;
+  readonly rateLimiter: TargetRateLimiter;
   /** What is known of a service's owners does not fit what targets say. */
   readonly refreshOwners: (service: string) => void;
   /** A request for a key has come in. */
   readonly observeKey: (route: Route, key: number) => void;
   readonly sender: RequestSender;
   /** An owner is sent nothing later than this after it was withdrawn. */
-  readonly getWithdrawnUseMs: (reason: WithdrawalReason) => number;
+  readonly getWithdrawalGraceMs: (reason: WithdrawalReason) => number;
   /** Whether this instance is about to end: it breaks nothing off any more. */
   readonly isStopping: () => boolean;
   readonly observe: (event: RequestEvent) => void;
@@ -76,29 +80,29 @@
 export class RequestRouter {
   readonly #options: RequestRouterOptions;
   readonly #owners: OwnerFinder;
-  readonly #report: RequestReport;
-  readonly #settler: OutcomeSettler;
+  readonly #reporter: RequestReporter;
+  readonly #outcomes: OutcomeHandler;
 
   constructor(options: RequestRouterOptions) {
     this.#options = options;
     this.#owners = new OwnerFinder(options);
-    this.#report = new RequestReport(options.clock, options.observe);
-    this.#settler = new OutcomeSettler(options);
+    this.#reporter = new RequestReporter(options.clock, options.observe);
+    this.#outcomes = new OutcomeHandler(options);
   }
 
   async handle(request: CallerRequest): Promise<FinalResponse> {
     const passage = this.#start(request);
     if ("kind" in passage) {
-      this.#report.reportFinal(request, undefined, passage);
+      this.#reporter.reportFinal(request, undefined, passage);
       return passage;
     }
     const answer = await this.#run(passage);
     this.#options.accounts.release(passage.admission);
-    this.#report.reportFinal(request, passage, answer);
+    this.#reporter.reportFinal(request, passage, answer);
     return answer;
   }
 
-  #start(request: CallerRequest): Passage | FinalResponse {
+  #start(request: CallerRequest): RequestContext | FinalResponse {
     const { catalogue } = this.#options;
     const { table } = catalogue;
     if (table === undefined) {
@@ -124,7 +128,7 @@
     request: CallerRequest,
     { route, keyText }: MatchedRoute,
     version: number,
-  ): Passage | FinalResponse {
+  ): RequestContext | FinalResponse {
     const { accounts, services, observeKey } = this.#options;
     const service = services.chooseService(route);
     const admission = accounts.admit(request.credential, service);
@@ -143,8 +147,8 @@
       request,
       key,
       admission,
-      endsAtMs: request.arrivedAtMs + allowedMs,
-      excluded: new Set(),
+      deadlineAtMs: request.arrivedAtMs + allowedMs,
+      excludedTargets: new Set(),
       sends: 0,
       ownerMissingSinceMs: null,
       mayHaveRun: false,
@@ -160,7 +164,7 @@
     };
   }
 
-  async #run(passage: Passage): Promise<FinalResponse> {
+  async #run(passage: RequestContext): Promise<FinalResponse> {
     const { clock } = this.#options;
     for (;;) {
       const stop = this.#updateRoute(passage) ?? this.#findEnd(passage) ??
@@ -177,7 +181,7 @@
   }
 
   /** A change of the configuration may have sent the route elsewhere. */
-  #updateRoute(passage: Passage): FinalResponse | undefined {
+  #updateRoute(passage: RequestContext): FinalResponse | undefined {
     const { catalogue, services } = this.#options;
     const version = catalogue.table?.version ?? passage.version;
     if (version === passage.version) {
@@ -199,19 +203,19 @@
     return undefined;
   }
 
-  #findEnd(passage: Passage): FinalResponse | undefined {
+  #findEnd(passage: RequestContext): FinalResponse | undefined {
     if (passage.request.signal.aborted) {
       return createFailure("caller-left", "The caller closed the connection");
     }
     const nowMs = this.#options.clock.readMs();
-    return nowMs >= passage.endsAtMs
-      ? this.#settler.settleUnserved(passage)
+    return nowMs >= passage.deadlineAtMs
+      ? this.#outcomes.createUnservedResponse(passage)
       : undefined;
   }
 
-  #checkQuarantine(passage: Passage): FinalResponse | undefined {
+  #checkQuarantine(passage: RequestContext): FinalResponse | undefined {
     if (passage.isTrial && passage.sends > 0) {
-      return this.#settler.settleTrial(passage);
+      return this.#outcomes.createTrialResponse(passage);
     }
     const decision = this.#options.quarantine.admit(passage);
     switch (decision.kind) {
@@ -221,14 +225,14 @@
         passage.isTrial = true;
         return undefined;
       case "quarantined":
-        return this.#settler.settleQuarantined(passage, decision);
+        return this.#outcomes.createQuarantineResponse(passage, decision);
     }
   }
 
-  async #runAttempt(passage: Passage): Promise<Step> {
+  async #runAttempt(passage: RequestContext): Promise<AttemptResult> {
     const owner = this.#owners.find(passage);
     if (owner.kind === "wait") {
-      return this.#waitForOwner(passage, owner.isLong);
+      return this.#waitForOwner(passage, owner.isLongWait);
     }
     passage.ownerMissingSinceMs = null;
     const decision = await this.#waitForPlace(passage, owner.targetId);
@@ -238,24 +242,24 @@
     if (decision.kind === "refused") {
       return {
         kind: "done",
-        answer: this.#settler.settleRefusal(passage, decision),
+        answer: this.#outcomes.createNoPlaceResponse(passage, decision),
       };
     }
-    const turn = await this.#waitForTurn(passage, decision.target);
+    const turn = await this.#waitForPermit(passage, decision.target);
     if (
       turn.kind === "granted" &&
       !this.#isOutdated(passage, decision.target, owner.targetId)
     ) {
       return await this.#send(passage, decision, owner);
     }
-    this.#options.services.recordEnded(
+    this.#options.services.releasePlace(
       passage.service,
       decision.target.id,
       passage.request.requestId,
     );
     return turn.kind === "granted"
       ? { kind: "again", pauseMs: 0 }
-      : this.#settler.settleOverLimit(passage, {
+      : this.#outcomes.handleOverLimit(passage, {
         target: decision.target,
         retryAfterMs: turn.retryAfterMs,
         isOwner: owner.targetId !== undefined,
@@ -263,12 +267,12 @@
   }
 
   /** Where the target takes only so many requests, all instances share its turns. */
-  async #waitForTurn(
-    passage: Passage,
+  async #waitForPermit(
+    passage: RequestContext,
     target: RoutingTarget,
   ): Promise<PermitDecision> {
-    const { clock, turns, services } = this.#options;
-    if (turns.getPerSecond(target) === undefined) {
+    const { clock, rateLimiter: turns, services } = this.#options;
+    if (turns.getLimitPerSecond(target) === undefined) {
       return { kind: "granted", waitMs: 0 };
     }
     const workMs = services.getUsualServiceMs(passage.service) ?? 0;
@@ -281,7 +285,7 @@
     return turn;
   }
 
-  #waitForOwner(passage: Passage, isLong: boolean): Step {
+  #waitForOwner(passage: RequestContext, isLong: boolean): AttemptResult {
     const nowMs = this.#options.clock.readMs();
     passage.ownerMissingSinceMs ??= nowMs;
     if (nowMs - passage.ownerMissingSinceMs > USUAL_MOVE_MS) {
@@ -289,12 +293,15 @@
     }
     return !isLong && nowMs - passage.ownerMissingSinceMs < OWNER_WAIT_MS
       ? { kind: "again", pauseMs: OWNER_POLL_MS }
-      : { kind: "done", answer: this.#settler.settleUnserved(passage) };
+      : {
+        kind: "done",
+        answer: this.#outcomes.createUnservedResponse(passage),
+      };
   }
 
   /** What decided before it waited for a place may have changed meanwhile. */
   #isOutdated(
-    passage: Passage,
+    passage: RequestContext,
     target: RoutingTarget,
     owner: string | undefined,
   ): boolean {
@@ -308,7 +315,7 @@
   }
 
   #waitForPlace(
-    passage: Passage,
+    passage: RequestContext,
     owner: string | undefined,
   ): Promise<PlaceDecision | undefined> {
     const { request, route, admission, service } = passage;
@@ -320,21 +327,21 @@
       arrivedAtMs: request.arrivedAtMs,
       latestStartMs: computeLatestStart(passage, workMs),
       ...(owner === undefined ? {} : { owner }),
-      excluded: passage.excluded,
+      excluded: passage.excludedTargets,
       ...(admission.kind === "admitted" ? { share: admission.share } : {}),
     }, request.signal);
   }
 
   async #send(
-    passage: Passage,
+    passage: RequestContext,
     placed: PlaceDecision & { readonly kind: "placed" },
     owner: OwnerLookup & { readonly kind: "found" },
-  ): Promise<Step> {
+  ): Promise<AttemptResult> {
     const { clock, sender, services, catalogue, quarantine, limits } =
       this.#options;
     const { request, route, service } = passage;
     const sentAtMs = clock.readMs();
-    const remainingMs = passage.endsAtMs - sentAtMs;
+    const remainingMs = passage.deadlineAtMs - sentAtMs;
     passage.sends++;
     services.recordSend(service, passage.sends > 1);
     const late = this.#watchAnswer(passage, placed);
@@ -363,31 +370,31 @@
       placed,
       request.requestId,
       outcome,
-      { sentAtMs, isOverdue: late.isGivenUp() },
+      { sentAtMs, isOverdue: late.isOverdue() },
     );
-    limits.recordEnd(placed.target, outcome, sentAtMs);
-    quarantine.recordEnd(passage, {
+    limits.recordOutcome(placed.target, outcome, sentAtMs);
+    quarantine.recordOutcome(passage, {
       target: placed.target,
       outcome,
       sentAtMs,
-      isOverdue: late.isGivenUp(),
+      isOverdue: late.isOverdue(),
     });
     if (outcome.kind === "not-run" && outcome.cause === "not-owner") {
       this.#options.refreshOwners(service);
     }
-    this.#report.reportSend(passage, {
+    this.#reporter.reportSend(passage, {
       placed,
       owner,
       outcome,
       sentAtMs,
       remainingMs,
     });
-    if (late.isGivenUp() && outcome.kind === "unknown") {
+    if (late.isOverdue() && outcome.kind === "unknown") {
       // The second send has been claimed already, when this one was given up.
       passage.mayHaveRun = true;
       return { kind: "again", pauseMs: 0 };
     }
-    return this.#settler.settle(passage, placed.target, outcome);
+    return this.#outcomes.handle(passage, placed.target, outcome);
   }
 
   /**
@@ -397,12 +404,12 @@
    * is lost would keep its caller until the deadline.
    */
   #watchAnswer(
-    passage: Passage,
+    passage: RequestContext,
     placed: PlaceDecision & { readonly kind: "placed" },
-  ): AnswerWatch {
+  ): SendAbortController {
     const { clock, services } = this.#options;
     const { request, route, sends, service } = passage;
-    const watch = new AnswerWatch(request.signal);
+    const watch = new SendAbortController(request.signal);
     if (
       !route.idempotent || sends >= route.maxAttempts || passage.isTrial
     ) {
@@ -413,9 +420,9 @@
     void clock.sleep(overdueMs, watch.signal).then(() => {
       if (
         !watch.signal.aborted && !this.#options.isStopping() &&
-        this.#settler.claimRetry(passage)
+        this.#outcomes.claimRetry(passage)
       ) {
-        watch.cancel();
+        watch.cancelOverdue();
       }
     });
     return watch;
--- a/packages/gateway/src/requests/request_router_test.ts
+++ b/packages/gateway/src/requests/request_router_test.ts
@@ -14,14 +14,14 @@
   createTable,
   serializeTable,
 } from "@lentilspur/ownership/key_table";
-import { AccountGate } from "../entry/account_gate.ts";
+import { AccountAdmission } from "../entry/account_admission.ts";
 import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import { Catalogue } from "../views/catalogue.ts";
 import { Duties } from "../members/duties.ts";
 import { KeyDirectory } from "../views/key_directory.ts";
 import { createMember, createMembers } from "../members/member_sample.ts";
 import { TargetLimits } from "./target_limits.ts";
-import { TargetTurns } from "./target_turns.ts";
+import { TargetRateLimiter } from "./target_rate_limiter.ts";
 import { computeFingerprint } from "./request_fingerprint.ts";
 import { RequestQuarantine } from "./request_quarantine.ts";
 import { RequestRouter } from "./request_router.ts";
@@ -58,7 +58,7 @@
   readonly sent: OutgoingRequest[] = [];
   readonly directory = new KeyDirectory();
   readonly catalogue: Catalogue;
-  readonly accounts = new AccountGate(this.clock);
+  readonly accounts = new AccountAdmission(this.clock);
   readonly #router: RequestRouter;
   readonly quarantine: RequestQuarantine;
   isStopping = false;
@@ -100,7 +100,7 @@
     });
     const findMember = (name: string) => members.get(name);
     const limits = new TargetLimits({ ...shared, findMember });
-    const turns = new TargetTurns({
+    const turns = new TargetRateLimiter({
       ...shared,
       limits,
       findMember,
@@ -114,7 +114,7 @@
       accounts: this.accounts,
       quarantine: this.quarantine,
       limits,
-      turns,
+      rateLimiter: turns,
       observeKey: () => undefined,
       refreshOwners: () => undefined,
       sender: {
@@ -126,7 +126,7 @@
           return outcome;
         },
       },
-      getWithdrawnUseMs: () => 1_000,
+      getWithdrawalGraceMs: () => 1_000,
       isStopping: () => this.isStopping,
       observe: () => undefined,
     });
--- a/packages/gateway/src/requests/request_world.ts
+++ b/packages/gateway/src/requests/request_simulation.ts
@@ -18,7 +18,7 @@
 import { SeededRandom } from "@lentilspur/ports/seeded_random";
 import { VirtualClock } from "@lentilspur/ports/virtual_clock";
 import { formatTargetIncarnation } from "@lentilspur/routing/target_incarnation";
-import { AccountGate } from "../entry/account_gate.ts";
+import { AccountAdmission } from "../entry/account_admission.ts";
 import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import { Catalogue } from "../views/catalogue.ts";
 import { KeyDirectory } from "../views/key_directory.ts";
@@ -32,11 +32,11 @@
   RequestQuarantine,
 } from "./request_quarantine.ts";
 import { TargetLimits } from "./target_limits.ts";
-import { TargetTurns } from "./target_turns.ts";
+import { TargetRateLimiter } from "./target_rate_limiter.ts";
 import { RequestRouter } from "./request_router.ts";
 import { ServiceRegistry } from "./service_registry.ts";
 
-export interface RequestWorldOptions {
+export interface RequestSimulationOptions {
   readonly instances: readonly string[];
   readonly targets: number;
   /** Whether each request may go to the owner of its key only. */
@@ -59,7 +59,7 @@
   readonly atMs: number;
 }
 
-interface Path {
+interface SimulatedInstance {
   readonly catalogue: Catalogue;
   readonly directory: KeyDirectory;
   readonly services: ServiceRegistry;
@@ -67,7 +67,7 @@
   readonly duties: Duties;
   readonly quarantine: RequestQuarantine;
   readonly limits: TargetLimits;
-  readonly turns: TargetTurns;
+  readonly turns: TargetRateLimiter;
   readonly router: RequestRouter;
 }
 
@@ -84,19 +84,19 @@
 const ENTRY_GONE_MS = 2_400;
 const RESTARTED_MS = 3_300;
 
-export class RequestWorld {
+export class RequestSimulation {
   readonly clock = new VirtualClock();
   readonly arrivals: Arrival[] = [];
   /** When each target that crashed did so. */
   readonly crashes: { readonly targetId: string; readonly atMs: number }[] = [];
   readonly events: QuarantineEvent[] = [];
   /** Instances that no datagram leaves or reaches. */
-  readonly silent = new Set<string>();
+  readonly disconnected = new Set<string>();
   /** Whether questions of an instance reach another that is heard. */
-  isReached = (_from: string, _to: string): boolean => true;
-  readonly #options: RequestWorldOptions;
+  isReachable = (_from: string, _to: string): boolean => true;
+  readonly #options: RequestSimulationOptions;
   readonly #random = new SeededRandom(1);
-  readonly #paths = new Map<string, Path>();
+  readonly #instances = new Map<string, SimulatedInstance>();
   readonly #targets = new Map<string, FakeTarget>();
   /** Requests a second that targets name in their answers. */
   readonly #limits = new Map<string, number>();
@@ -104,10 +104,10 @@
   #sent = 0;
   #token = 0;
 
-  constructor(options: RequestWorldOptions) {
+  constructor(options: RequestSimulationOptions) {
     this.#options = options;
     for (const name of options.instances) {
-      this.#paths.set(name, this.#createPath(name));
+      this.#instances.set(name, this.#createInstance(name));
     }
     for (let count = 0; count < options.targets; count++) {
       this.#startTarget();
@@ -118,8 +118,11 @@
 
   /** Starts an instance that knows nothing of what was before. */
   restartInstance(name: string): void {
-    const { catalogue, directory } = this.#paths.get(name)!;
-    this.#paths.set(name, this.#createPath(name, { catalogue, directory }));
+    const { catalogue, directory } = this.#instances.get(name)!;
+    this.#instances.set(
+      name,
+      this.#createInstance(name, { catalogue, directory }),
+    );
   }
 
   /** Sends as a caller would; resolves with the answer as time goes by. */
@@ -127,7 +130,7 @@
     instance: string,
     changes: Partial<CallerRequest> = {},
   ): Promise<FinalResponse> {
-    return this.#paths.get(instance)!.router.handle({
+    return this.#instances.get(instance)!.router.handle({
       requestId: `r${++this.#sent}`,
       deadlineMs: 1_500,
       key: 1,
@@ -157,7 +160,7 @@
   /** Operators evacuate a data centre, or restore it. */
   setEvacuated(dataCentre: string, isEvacuated: boolean): void {
     const nowMs = this.clock.readMs();
-    for (const { catalogue, services } of this.#paths.values()) {
+    for (const { catalogue, services } of this.#instances.values()) {
       catalogue.applyEvacuation(dataCentre, isEvacuated, nowMs);
       catalogue.advance(nowMs);
       services.update();
@@ -184,8 +187,8 @@
   }
 
   /** Which instance gives out the turns of a target. */
-  findDecider(id: string): string {
-    const [path] = this.#paths.values();
+  findCoordinator(id: string): string {
+    const [path] = this.#instances.values();
     return path!.duties.chooseDeciders(formatTargetIncarnation({ id }))[0]!;
   }
 
@@ -195,13 +198,16 @@
       .filter((one) => one.path === path && one.atMs > afterMs).length;
   }
 
-  #createPath(
+  #createInstance(
     name: string,
-    { catalogue, directory }: Pick<Path, "catalogue" | "directory"> = {
+    { catalogue, directory }: Pick<
+      SimulatedInstance,
+      "catalogue" | "directory"
+    > = {
       catalogue: this.#createCatalogue(name),
       directory: new KeyDirectory(),
     },
-  ): Path {
+  ): SimulatedInstance {
     const { clock } = this;
     const shared = this.#createShared(name, catalogue);
     const services = new ServiceRegistry({
@@ -219,14 +225,14 @@
       catalogue,
       directory,
       services,
-      accounts: new AccountGate(clock),
+      accounts: new AccountAdmission(clock),
       quarantine: shared.quarantine,
       limits: shared.limits,
-      turns: shared.turns,
+      rateLimiter: shared.turns,
       observeKey: () => undefined,
       refreshOwners: () => undefined,
       sender: { send: (request) => this.#transfer(name, request) },
-      getWithdrawnUseMs: () => 1_000,
+      getWithdrawalGraceMs: () => 1_000,
       isStopping: () => false,
       observe: () => undefined,
     });
@@ -238,7 +244,7 @@
       decodeConfiguration: () => Ok(this.#createTable()),
       decodeTarget: (id, text) => Ok({ id, ...JSON.parse(text) }),
       observe: (event) =>
-        this.#paths.get(name)?.quarantine.observeCatalogue(event),
+        this.#instances.get(name)?.quarantine.handleCatalogueEvent(event),
     });
     catalogue.applyConfiguration("");
     return catalogue;
@@ -248,7 +254,10 @@
   #createShared(
     name: string,
     catalogue: Catalogue,
-  ): Pick<Path, "members" | "duties" | "quarantine" | "limits" | "turns"> {
+  ): Pick<
+    SimulatedInstance,
+    "members" | "duties" | "quarantine" | "limits" | "turns"
+  > {
     const { clock } = this;
     const self = createMember(name);
     const all = this.#options.instances.map((one) => createMember(one));
@@ -277,7 +286,7 @@
       findMember,
       observe: () => undefined,
     });
-    const turns = new TargetTurns({
+    const turns = new TargetRateLimiter({
       ...shared,
       limits,
       findMember,
@@ -295,33 +304,37 @@
     assert.ok(bytes <= MAX_DATAGRAM_BYTES, `${bytes} bytes do not fit`);
     const heard = to.filter(({ instance }) =>
       this.#random.draw() >= lostDatagrams &&
-      !this.silent.has(instance) && !this.silent.has(message.from) &&
+      !this.disconnected.has(instance) &&
+      !this.disconnected.has(message.from) &&
       (message.kind !== "quota-request" ||
-        this.isReached(message.from, instance))
+        this.isReachable(message.from, instance))
     );
     await this.clock.sleep(DATAGRAM_MS);
     for (const { instance } of heard) {
-      this.#apply(this.#paths.get(instance)!, message);
+      this.#apply(this.#instances.get(instance)!, message);
     }
   }
 
-  #apply({ quarantine, limits, turns }: Path, message: PeerMessage): void {
+  #apply(
+    { quarantine, limits, turns }: SimulatedInstance,
+    message: PeerMessage,
+  ): void {
     if (message.kind === "suspects") {
       quarantine.apply(message);
     } else if (message.kind === "limits") {
       limits.apply(message);
     } else if (message.kind === "quota-request") {
-      turns.answer(message);
+      turns.handleRequest(message);
     } else if (message.kind === "quota") {
-      turns.applyAnswer(message);
+      turns.handleResponse(message);
     }
   }
 
   async #runHeartbeats(): Promise<void> {
     for (;;) {
-      for (const { members } of this.#paths.values()) {
-        for (const other of this.#paths.keys()) {
-          if (!this.silent.has(other)) {
+      for (const { members } of this.#instances.values()) {
+        for (const other of this.#instances.keys()) {
+          if (!this.disconnected.has(other)) {
             members.recordHeard(other, this.clock.readMs());
           }
         }
@@ -395,7 +408,7 @@
 
   #applyEntry(id: string, text: string): void {
     const nowMs = this.clock.readMs();
-    for (const { catalogue, services } of this.#paths.values()) {
+    for (const { catalogue, services } of this.#instances.values()) {
       catalogue.applyTarget(id, text, { nowMs, graceMs: 0 });
       catalogue.advance(nowMs);
       services.update();
@@ -408,7 +421,7 @@
     const offset = ++this.#token;
     const text = serializeTable(createTable(owners, offset));
     const nowMs = this.clock.readMs();
-    for (const { directory } of this.#paths.values()) {
+    for (const { directory } of this.#instances.values()) {
       directory.applyTable(SERVICE, text, { offset, nowMs });
     }
   }
--- a/packages/gateway/src/requests/answer_watch.ts
+++ b/packages/gateway/src/requests/send_abort_controller.ts
@@ -4,18 +4,18 @@
 const SEND_OVER = new Error("The send is over");
 
 /** One send's signal: aborts when the caller leaves or the send is given up. */
-export class AnswerWatch {
+export class SendAbortController {
   readonly #controller = new AbortController();
   readonly #caller: AbortSignal;
-  readonly #leave = () => this.#controller.abort(SEND_OVER);
+  readonly #cancel = () => this.#controller.abort(SEND_OVER);
   #isGivenUp = false;
   #isOver = false;
 
   constructor(caller: AbortSignal) {
     this.#caller = caller;
-    caller.addEventListener("abort", this.#leave, { once: true });
+    caller.addEventListener("abort", this.#cancel, { once: true });
     if (caller.aborted) {
-      this.#leave();
+      this.#cancel();
     }
   }
 
@@ -23,21 +23,21 @@
     return this.#controller.signal;
   }
 
-  isGivenUp(): boolean {
+  isOverdue(): boolean {
     return this.#isGivenUp;
   }
 
-  cancel(): void {
+  cancelOverdue(): void {
     if (!this.#isOver) {
       this.#isGivenUp = true;
-      this.#leave();
+      this.#cancel();
     }
   }
 
   /** The send has ended. */
   stop(): void {
     this.#isOver = true;
-    this.#caller.removeEventListener("abort", this.#leave);
-    this.#leave();
+    this.#caller.removeEventListener("abort", this.#cancel);
+    this.#cancel();
   }
 }
--- a/packages/gateway/src/requests/service_registry.ts
+++ b/packages/gateway/src/requests/service_registry.ts
@@ -84,7 +84,7 @@
   }
 
   /** New weights: shares are counted from here on. */
-  resetShares(): void {
+  resetTrafficSplit(): void {
     this.#split.reset();
   }
 
@@ -144,7 +144,7 @@
   }
 
   /** The place that was given is not used after all. */
-  recordEnded(service: string, targetId: string, requestId: string): void {
+  releasePlace(service: string, targetId: string, requestId: string): void {
     const places = this.#getPlaces(service);
     places.getLoad(targetId)?.recordEnded(requestId);
     places.dispatchQueued(this.#options.clock.readMs());
@@ -214,7 +214,7 @@
     }
   }
 
-  countOwn(): LoadCounts {
+  countOwnLoad(): LoadCounts {
     const running: Record<string, number> = {};
     const waiting: Record<string, LoadCounts["waiting"][string]> = {};
     for (const [service, places] of this.#places) {
--- a/packages/gateway/src/requests/target_limits.ts
+++ b/packages/gateway/src/requests/target_limits.ts
@@ -64,18 +64,18 @@
   }
 
   /** Requests a second that a target takes; undefined where it names no limit. */
-  getPerSecond(target: TargetIncarnation): number | undefined {
+  getLimitPerSecond(target: TargetIncarnation): number | undefined {
     return this.#limits.size === 0
       ? undefined
-      : this.findPerSecond(formatTargetIncarnation(target));
+      : this.findLimitPerSecond(formatTargetIncarnation(target));
   }
 
   /** As above, by `formatLife`. */
-  findPerSecond(life: string): number | undefined {
+  findLimitPerSecond(life: string): number | undefined {
     return this.#limits.get(life)?.perSecond ?? undefined;
   }
 
-  recordEnd(
+  recordOutcome(
     target: TargetIncarnation,
     outcome: SendOutcome,
     sentAtMs: number,
@@ -126,7 +126,7 @@
     while (!signal.aborted) {
       if (this.#limits.size > 0) {
         this.#expire();
-        this.#sendDecided();
+        this.#sendCoordinated();
       }
       await sleepUntilTick(this.#options.clock, TICK_MS, signal);
     }
@@ -135,7 +135,7 @@
   #recordNamed(target: TargetIncarnation, perSecond: number): void {
     const { clock, instance, duties, findMember } = this.#options;
     const life = formatTargetIncarnation(target);
-    const before = this.findPerSecond(life) ?? null;
+    const before = this.findLimitPerSecond(life) ?? null;
     if (isChange(before, perSecond)) {
       this.#setLimit(target, perSecond);
       return;
@@ -178,7 +178,7 @@
     }
   }
 
-  #sendDecided(): void {
+  #sendCoordinated(): void {
     const { instance, duties } = this.#options;
     const decided = [...this.#limits.keys()]
       .filter((life) => duties.chooseDeciders(life)[0] === instance);
--- a/packages/gateway/src/requests/target_limits_test.ts
+++ b/packages/gateway/src/requests/target_limits_test.ts
@@ -1,8 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { countMaxInWindow } from "@lentilspur/ports/window_count";
-import { DOZEN, sendLoad } from "./request_load.ts";
-import { RequestWorld, type RequestWorldOptions } from "./request_world.ts";
+import { sendLoad, TWELVE_INSTANCES } from "./request_load.ts";
+import {
+  RequestSimulation,
+  type RequestSimulationOptions,
+} from "./request_simulation.ts";
 
 const LIMIT_PER_SECOND = 2.4;
 /** From the first word of a limit until it has to be kept. */
@@ -10,7 +13,11 @@
 const WINDOW_MS = 4_000;
 
 /** The most that reached a target in some window after a time. */
-function countMost(world: RequestWorld, id: string, afterMs: number): number {
+function countMost(
+  world: RequestSimulation,
+  id: string,
+  afterMs: number,
+): number {
   const times = world.arrivals
     .filter(({ targetId, atMs }) => targetId === id && atMs >= afterMs)
     .map(({ atMs }) => atMs);
@@ -19,11 +26,11 @@
 
 /** A world with callers, in which the first target has named its limit. */
 async function createLimited(
-  options: Partial<RequestWorldOptions> = {},
+  options: Partial<RequestSimulationOptions> = {},
   perSecond = LIMIT_PER_SECOND,
-): Promise<{ readonly world: RequestWorld; readonly namedMs: number }> {
-  const world = new RequestWorld({
-    instances: DOZEN,
+): Promise<{ readonly world: RequestSimulation; readonly namedMs: number }> {
+  const world = new RequestSimulation({
+    instances: TWELVE_INSTANCES,
     targets: 19,
     keyed: true,
     ...options,
@@ -37,7 +44,7 @@
 
 /** In any window it gets half as much again, and five requests, at most. */
 function assertHeld(
-  world: RequestWorld,
+  world: RequestSimulation,
   namedMs: number,
   perSecond = LIMIT_PER_SECOND,
 ): void {
@@ -62,7 +69,7 @@
   const lasted: number[] = [];
   for (let nth = 0; nth < 100; nth++) {
     const sentMs = world.clock.readMs();
-    void world.send(DOZEN[nth % 12]!, { key: 1 }).then((answer) => {
+    void world.send(TWELVE_INSTANCES[nth % 12]!, { key: 1 }).then((answer) => {
       if (answer.kind === "failed") {
         assert.equal(answer.failure, "overloaded");
         assert.ok(answer.retryAfterMs! > 0);
@@ -86,10 +93,10 @@
 
 test("a limit holds while its decider is lost, and datagrams are", async () => {
   const { world, namedMs } = await createLimited({ lostDatagrams: 0.05 });
-  for (const instance of DOZEN) {
-    world.silent.add(instance);
+  for (const instance of TWELVE_INSTANCES) {
+    world.disconnected.add(instance);
     await sendLoad(world, { forMs: 1_000 });
-    world.silent.delete(instance);
+    world.disconnected.delete(instance);
   }
   assertHeld(world, namedMs);
 });
@@ -97,9 +104,11 @@
 test("a limit holds while half of the instances cannot ask its decider", async () => {
   const perSecond = 10;
   const { world, namedMs } = await createLimited({ targets: 4 }, perSecond);
-  const decider = world.findDecider("t1");
-  const cutOff = new Set(DOZEN.filter((_, index) => index % 2 === 0));
-  world.isReached = (from, to) => to !== decider || !cutOff.has(from);
+  const decider = world.findCoordinator("t1");
+  const cutOff = new Set(
+    TWELVE_INSTANCES.filter((_, index) => index % 2 === 0),
+  );
+  world.isReachable = (from, to) => to !== decider || !cutOff.has(from);
   await sendLoad(world, { forMs: 10_000 });
   assertHeld(world, namedMs, perSecond);
 });
--- a/packages/gateway/src/requests/target_turns.ts
+++ b/packages/gateway/src/requests/target_rate_limiter.ts
@@ -25,14 +25,14 @@
 type QuotaRequest = PeerMessage & { readonly kind: "quota-request" };
 type QuotaAnswer = PeerMessage & { readonly kind: "quota" };
 
-export interface TargetTurnsOptions extends PeerOptions {
+export interface TargetRateLimiterOptions extends PeerOptions {
   readonly limits: TargetLimits;
   readonly findMember: (instance: string) => Member | undefined;
   /** Requests a second that a target takes while it is cold; else undefined. */
   readonly getColdPerSecond: (target: TargetIncarnation) => number | undefined;
 }
 
-interface WantedTurn {
+interface PermitRequest {
   readonly life: string;
   readonly coldPerSecond: number | null;
   readonly maxWaitMs: number;
@@ -53,23 +53,29 @@
 const UNUSED_MS = 10_000;
 const FREE: PermitDecision = { kind: "granted", waitMs: 0 };
 
-export class TargetTurns {
-  readonly #options: TargetTurnsOptions;
+export class TargetRateLimiter {
+  readonly #options: TargetRateLimiterOptions;
   /** Of the targets whose turns this instance gives out. */
   readonly #quotas = new Map<string, RequestPacer>();
   /** Until when no turn is to be had, as far as is known here. */
   readonly #closedUntilMs = new Map<string, number>();
-  readonly #asked = new Map<number, (decision: PermitDecision) => void>();
+  readonly #pendingRequests = new Map<
+    number,
+    (decision: PermitDecision) => void
+  >();
   #lastNumber = 0;
 
-  constructor(options: TargetTurnsOptions) {
+  constructor(options: TargetRateLimiterOptions) {
     this.#options = options;
   }
 
   /** Requests a second that a target takes; undefined where it takes any number. */
-  getPerSecond(target: TargetIncarnation): number | undefined {
+  getLimitPerSecond(target: TargetIncarnation): number | undefined {
     const { limits, getColdPerSecond } = this.#options;
-    return findLowest(limits.getPerSecond(target), getColdPerSecond(target));
+    return findLowest(
+      limits.getLimitPerSecond(target),
+      getColdPerSecond(target),
+    );
   }
 
   /** How long a turn will have to be waited for, as far as is known here. */
@@ -87,7 +93,7 @@
     target: TargetIncarnation,
     maxWaitMs: number,
   ): Promise<PermitDecision> {
-    if (this.getPerSecond(target) === undefined) {
+    if (this.getLimitPerSecond(target) === undefined) {
       return FREE;
     }
     const closedMs = this.estimateWaitMs(target);
@@ -100,7 +106,7 @@
     for (const [place, name] of duties.chooseDeciders(life).entries()) {
       const share = place === 0 ? 1 : STAND_IN_SHARE;
       const wanted = { life, coldPerSecond, maxWaitMs, share };
-      const decision = await this.#fetchTurn(name, wanted);
+      const decision = await this.#fetchPermit(name, wanted);
       if (decision !== undefined) {
         this.#recordDecision(life, decision);
         return decision;
@@ -110,7 +116,7 @@
   }
 
   /** Another instance asks for a turn. */
-  answer({ from, number, limit, ...wanted }: QuotaRequest): void {
+  handleRequest({ from, number, limit, ...wanted }: QuotaRequest): void {
     const { instance, limits, findMember, send } = this.#options;
     const asker = findMember(from);
     if (asker === undefined) {
@@ -123,8 +129,8 @@
     send([asker], { kind: "quota", from: instance, number, decision });
   }
 
-  applyAnswer({ number, decision }: QuotaAnswer): void {
-    this.#asked.get(number)?.(decision);
+  handleResponse({ number, decision }: QuotaAnswer): void {
+    this.#pendingRequests.get(number)?.(decision);
   }
 
   /** Forgets what is of no use any more. */
@@ -143,9 +149,9 @@
   }
 
   /** Undefined where no answer comes. */
-  #fetchTurn(
+  #fetchPermit(
     name: string,
-    wanted: WantedTurn,
+    wanted: PermitRequest,
   ): Promise<PermitDecision | undefined> {
     const { instance: from, clock, limits, findMember, send } = this.#options;
     if (name === from) {
@@ -166,11 +172,11 @@
     const over = new AbortController();
     return new Promise((resolve) => {
       const settle = (decision: PermitDecision | undefined): void => {
-        this.#asked.delete(number);
+        this.#pendingRequests.delete(number);
         over.abort();
         resolve(decision);
       };
-      this.#asked.set(number, settle);
+      this.#pendingRequests.set(number, settle);
       send([member], message);
       void clock.sleep(ANSWER_MS, over.signal).then(() => settle(undefined));
     });
@@ -178,11 +184,11 @@
 
   /** Gives out a turn as the one that decides. */
   #decide(
-    { life, coldPerSecond, maxWaitMs, share }: WantedTurn,
+    { life, coldPerSecond, maxWaitMs, share }: PermitRequest,
   ): PermitDecision {
     const { clock, limits } = this.#options;
     const perSecond = findLowest(
-      limits.findPerSecond(life),
+      limits.findLimitPerSecond(life),
       coldPerSecond ?? undefined,
     );
     if (perSecond === undefined) {
