--- a/packages/gateway/src/event_reporter.ts
+++ b/packages/gateway/src/event_reporter.ts
@@ -14,7 +14,7 @@
 } from "./structured_logger.ts";
 import type { QuarantineEvent } from "./requests/request_quarantine.ts";
 import type { LimitEvent } from "./requests/target_limits.ts";
-import type { TailEvent } from "./views/partition_tail.ts";
+import type { PartitionViewEvent } from "./views/partition_view.ts";
 import type { RequestEvent } from "./requests/request_reporter.ts";
 
 export class EventReporter {
@@ -55,7 +55,7 @@
     }
   }
 
-  observeStoreView(event: TailEvent): void {
+  observeStoreView(event: PartitionViewEvent): void {
     const { kind, ...fields } = event;
     this.#lines.log(`store-${kind}`, "notable", fields);
   }
--- a/packages/gateway/src/instance.ts
+++ b/packages/gateway/src/instance.ts
@@ -30,9 +30,9 @@
 import { LoadExchange } from "./peers/load_exchange.ts";
 import { Members } from "./members/members.ts";
 import { publishMember } from "./members/member_publisher.ts";
-import { PeerDispatch } from "./peers/peer_dispatch.ts";
-import { PeerExchange } from "./peers/peer_exchange.ts";
-import type { PeerMessage, PeerStanding } from "./peers/peer_message.ts";
+import { PeerDispatcher } from "./peers/peer_dispatcher.ts";
+import { PeerTransport } from "./peers/peer_transport.ts";
+import type { PeerMessage, PeerStatus } from "./peers/peer_message.ts";
 import type { PeerOptions } from "./peers/peer_options.ts";
 import { RequestQuarantine } from "./requests/request_quarantine.ts";
 import { RequestRouter } from "./requests/request_router.ts";
@@ -86,9 +86,9 @@
   readonly #tables: TableRequests;
   readonly #accounts: AccountAdmission;
   readonly #demands: AccountDemands;
-  readonly #peers: PeerExchange;
+  readonly #peers: PeerTransport;
   readonly #loads: LoadExchange;
-  readonly #dispatch: PeerDispatch;
+  readonly #dispatch: PeerDispatcher;
   readonly #ready: MonitoringServer;
   readonly #metricsServer: MonitoringServer;
   readonly #keyTraffic: KeyTraffic;
@@ -146,7 +146,7 @@
     this.#keyTraffic = this.#createKeyTraffic();
     this.#demands = this.#createDemands();
     this.#status = this.#createStatus();
-    this.#dispatch = new PeerDispatch({
+    this.#dispatch = new PeerDispatcher({
       clock,
       members: this.#members,
       duties: this.#duties,
@@ -256,7 +256,7 @@
     return new StoreViews({
       clock: this.#options.clock,
       store: this.#adapter.store,
-      places: this.#adapter.storeLayout,
+      storeLayout: this.#adapter.storeLayout,
       catalogue: this.#catalogue,
       directory: this.#directory,
       members: this.#members,
@@ -267,7 +267,7 @@
         this.#relay.sendTargets(
           slice,
           ({ key, value }) =>
-            this.#catalogue.isNews(key, value, this.#options.clock.readMs()),
+            this.#catalogue.isChange(key, value, this.#options.clock.readMs()),
         ),
       fetchTable: (part, keeper, end) =>
         void this.#tables.fetch(part, keeper, end),
@@ -327,7 +327,7 @@
       rateLimiter: this.#turns,
       observeKey: (route, key) => this.#keyTraffic.observe(route, key),
       refreshOwners: (service) =>
-        this.#views.checkOwners(this.#choosePart(service)),
+        this.#views.handleOwnerMiss(this.#choosePart(service)),
       sender: this.#adapter.sender,
       isStopping: () => this.#isStopping,
       getWithdrawalGraceMs: (reason) => this.#getWithdrawnUseMs(reason),
@@ -374,21 +374,21 @@
       minMemberTtlMs: settings.minMemberTtlMs,
       listServiceSnapshots: (part) =>
         this.#keyTraffic.listServiceSnapshots(part),
-      getView: (part) => this.#views.getOwnersTail(part),
+      getView: (part) => this.#views.getOwnersView(part),
       getTrustedSinceMs: () => guard.checkTrustedSinceMs(),
       hasEnded: (holder) => this.#catalogue.hasEnded(holder),
       isAlive: (name) => this.#members.isAlive(name, clock.readMs()),
       listAlive: () => this.#duties.listHeartbeatSenders(),
       isCandidate: () => this.#duties.isCandidate(),
       sendToPeer: (name, message) => this.#sendTo(name, message),
-      refreshMembers: () => this.#views.readMembers(),
+      refreshMembers: () => this.#views.scheduleMembersRead(),
       hasInstanceEnded: (claim) =>
         this.#members.hasEnded(claim.instance, claim.incarnation),
       observe: (event) => this.#reporter.observeKeeper(event),
       onTableWritten: (written) => this.#relay.sendTable(written),
       onGranted: (granted) => this.#relay.sendGranted(granted),
       onAppended: (part, record) => this.#recordAppended(part, record),
-      onResolved: (part, end) => this.#relay.recordResolved(part, end),
+      onResolved: (part, end) => this.#relay.recordTableEnd(part, end),
       onClaim: (part, term) => this.#relay.sendClaim(part, term),
     });
   }
@@ -407,16 +407,16 @@
     });
   }
 
-  #createPeers(): PeerExchange {
+  #createPeers(): PeerTransport {
     const { settings, clock } = this.#options;
-    return new PeerExchange({
+    return new PeerTransport({
       clock,
       host: settings.host,
       port: settings.peerPort,
       instance: settings.instance,
-      listListeners: () => this.#duties.listHeartbeatReceivers(),
-      describeStanding: () => this.#describeStanding(),
-      isSpeaker: () => this.#duties.isHeartbeatSender(),
+      listHeartbeatReceivers: () => this.#duties.listHeartbeatReceivers(),
+      describeStatus: () => this.#describeStanding(),
+      isHeartbeatSender: () => this.#duties.isHeartbeatSender(),
       handle: (message) => this.#dispatch.handle(message),
       reportFault: (message) => this.#reporter.reportFault(message),
     });
@@ -429,11 +429,11 @@
       readCounts: () => this.#services.countOwnLoad(),
       applyCounts: (peer, counts) =>
         this.#services.applyPeerCounts(peer, counts),
-      describeStanding: () => this.#describeStanding(),
+      describeStatus: () => this.#describeStanding(),
     });
   }
 
-  #describeStanding(): PeerStanding {
+  #describeStanding(): PeerStatus {
     return {
       configurationEnd: this.#views.configurationEnd,
       hasLostStore: this.#views.hasLostStore,
@@ -448,7 +448,7 @@
     const base = record.offset;
     const records = [record];
     const slice = { base, end: base + 1, ageMs: 0, sinceOutageMs: null };
-    this.#views.getOwnersTail(part)?.applySlice({ ...slice, records });
+    this.#views.getOwnersView(part)?.applyBatch({ ...slice, records });
   }
 
   #sendOwnRecord(offset: number, record: string): void {
@@ -473,7 +473,7 @@
     this.#services.update();
     for (const service of table.services.values()) {
       if (service.keyed) {
-        this.#views.openOwners(this.#choosePart(service.name));
+        this.#views.startOwnersView(this.#choosePart(service.name));
       }
     }
   }
@@ -545,9 +545,9 @@
       directory: this.#directory,
       duties: this.#duties,
       findMember: (name) => this.#members.get(name),
-      getTargetsTail: () => this.#views.targetsTail,
-      getConfigurationTail: () => this.#views.configurationTail,
-      getOwnersTail: (part) => this.#views.getOwnersTail(part),
+      getTargetsView: () => this.#views.targetsView,
+      getConfigurationView: () => this.#views.configurationView,
+      getOwnersView: (part) => this.#views.getOwnersView(part),
       fetchTable: (part, keeper, end) =>
         void this.#tables.fetch(part, keeper, end),
       send: (members, message) => this.#peers.send(members, message),
@@ -561,7 +561,7 @@
       instance: settings.instance,
       directory: this.#directory,
       findMember: (name) => this.#members.get(name),
-      getOwnersTail: (part) => this.#views.getOwnersTail(part),
+      getOwnersView: (part) => this.#views.getOwnersView(part),
       getTableEnd: (part) =>
         this.#keepers.isKeeper(part)
           ? this.#relay.getTableEnd(part)
--- a/packages/gateway/src/keeper/keeper_service.ts
+++ b/packages/gateway/src/keeper/keeper_service.ts
@@ -43,7 +43,7 @@
   PartitionAssignment,
   type PartitionAssignmentEvent,
 } from "./partition_assignment.ts";
-import type { PartitionTail } from "../views/partition_tail.ts";
+import type { PartitionView } from "../views/partition_view.ts";
 import type { WrittenTable } from "../views/view_relay.ts";
 
 export type KeeperServiceEvent =
@@ -85,7 +85,7 @@
   /** Services whose tables are in a partition, with what is known of them. */
   readonly listServiceSnapshots: (part: number) => readonly ServiceSnapshot[];
   /** The tail of a partition, once there is reason to follow it. */
-  readonly getView: (part: number) => PartitionTail | undefined;
+  readonly getView: (part: number) => PartitionView | undefined;
   /** What was confirmed before this time does not count; own clock. */
   readonly getTrustedSinceMs: () => number;
   readonly hasEnded: (holder: Holder) => boolean;
@@ -234,7 +234,7 @@
       ...this.#assignment.listAssigned().keys(),
       ...this.#keepers.keys(),
     ]
-      .map((part) => getTail(part)?.confirmedAtMs ?? -Infinity);
+      .map((part) => getTail(part)?.storeConfirmedAtMs ?? -Infinity);
     const latestMs = Math.max(this.#assignment.lastJoinedAtMs, ...contacts);
     return clock.readMs() - latestMs < STORE_CONTACT_MS;
   }
@@ -371,7 +371,7 @@
     return keeper !== undefined && this.#options.isAlive(keeper.instance);
   }
 
-  async #claim(part: number, tail: PartitionTail): Promise<void> {
+  async #claim(part: number, tail: PartitionView): Promise<void> {
     const { clock, store, topic, claim, observe } = this.#options;
     const partition = { topic, part };
     // Read anew: what other instances passed on is good for routing only.
@@ -425,7 +425,7 @@
   #startKeeper(options: {
     readonly part: number;
     readonly term: number;
-    readonly tail: PartitionTail;
+    readonly tail: PartitionView;
     readonly standing: PartitionState;
     readonly earlier: PredecessorTracker;
     readonly sentAtMs: number;
@@ -460,7 +460,7 @@
       listUnresolved: () => earlier.listUnresolved(),
       hasPledges: () =>
         this.#exchange.hasPledges(part, this.#listWitnesses(part)),
-      getConfirmedAtMs: () => tail.confirmedAtMs,
+      getConfirmedAtMs: () => tail.storeConfirmedAtMs,
       getTrustedSinceMs: this.#options.getTrustedSinceMs,
       observe: (event) =>
         this.#options.observe({ kind: "keeper", partition, event }),
@@ -475,7 +475,7 @@
     void keeper.run();
   }
 
-  #hasActiveClaim(tail: PartitionTail): boolean {
+  #hasActiveClaim(tail: PartitionView): boolean {
     const { claim: own, hasInstanceEnded } = this.#options;
     const record = tail.getRecord(KEEPER_KEY);
     const claim = record && parseClaim(record.value);
--- a/packages/gateway/src/keeper/keeper_simulation.ts
+++ b/packages/gateway/src/keeper/keeper_simulation.ts
@@ -10,7 +10,7 @@
 import type { KeeperClaim } from "@lentilspur/ownership/keeper_records";
 import type { KeeperMessage } from "./keeper_exchange.ts";
 import { KeeperService, type KeeperServiceEvent } from "./keeper_service.ts";
-import { PartitionTail } from "../views/partition_tail.ts";
+import { PartitionView } from "../views/partition_view.ts";
 
 export const OWNERS_PARTITION = { topic: "owners", part: 0 };
 const SERVICE = "files";
@@ -51,11 +51,16 @@
     const incarnation = `${instance}.${this.#starts}`;
     const stop = new AbortController();
     const store = this.store.createClient(instance);
-    const tail = new PartitionTail({
+    const tail = new PartitionView({
       clock: this.clock,
       store,
       partition: OWNERS_PARTITION,
-      getPace: () => ({ gapMs: 10, waitMs: 600, validMs: 0, maxPauseMs: 400 }),
+      getPollingPolicy: () => ({
+        pollDelayMs: 10,
+        waitMs: 600,
+        peerDataTtlMs: 0,
+        maxBackoffMs: 400,
+      }),
       apply: () => undefined,
       observe: () => undefined,
     });
--- a/packages/gateway/src/peers/load_counts.ts
+++ b/packages/gateway/src/peers/load_counts.ts
@@ -23,7 +23,7 @@
 });
 
 /** A sum while counts are added to it. */
-interface CountSum {
+interface MutableCounts {
   readonly running: Record<string, number>;
   readonly waiting: Record<string, Record<string, readonly number[]>>;
   instances: number;
@@ -34,7 +34,7 @@
  * times a second for dozens of others, so one sum is added to, not copied.
  */
 export function mergeCounts(all: readonly LoadCounts[]): LoadCounts {
-  const sum = createSum(NO_LOAD);
+  const sum = createMutableCounts(NO_LOAD);
   for (const counts of all) {
     addCounts(sum, counts, 1);
   }
@@ -43,13 +43,15 @@
 
 /** What is left of a sum without one of its parts. */
 export function removeCounts(sum: LoadCounts, part: LoadCounts): LoadCounts {
-  const left = createSum(sum);
+  const left = createMutableCounts(sum);
   addCounts(left, part, -1);
   return left;
 }
 
 /** A sum of its own that begins with some counts. */
-function createSum({ running, waiting, instances }: LoadCounts): CountSum {
+function createMutableCounts(
+  { running, waiting, instances }: LoadCounts,
+): MutableCounts {
   const services = Object.entries(waiting)
     .map(([service, lanes]) => [service, { ...lanes }] as const);
   return {
@@ -59,7 +61,7 @@
   };
 }
 
-function addCounts(sum: CountSum, counts: LoadCounts, sign: 1 | -1): void {
+function addCounts(sum: MutableCounts, counts: LoadCounts, sign: 1 | -1): void {
   const { running, waiting } = sum;
   for (const [id, count] of Object.entries(counts.running)) {
     running[id] = Math.max(0, (running[id] ?? 0) + sign * count);
--- a/packages/gateway/src/peers/load_exchange.ts
+++ b/packages/gateway/src/peers/load_exchange.ts
@@ -19,9 +19,9 @@
 import {
   decodeValue,
   encodeValue,
-  type Piece,
-  PieceJoiner,
-} from "./datagram_pieces.ts";
+  type Fragment,
+  FragmentAssembler,
+} from "./datagram_fragments.ts";
 import {
   type LoadCounts,
   mergeCounts,
@@ -29,7 +29,7 @@
   removeCounts,
 } from "./load_counts.ts";
 import type { Member, Members } from "../members/members.ts";
-import type { PeerMessage, PeerStanding } from "./peer_message.ts";
+import type { PeerMessage, PeerStatus } from "./peer_message.ts";
 import type { PeerOptions } from "./peer_options.ts";
 
 type LoadMessage = PeerMessage & { readonly kind: "load" };
@@ -40,61 +40,61 @@
   readonly readCounts: () => LoadCounts;
   /** Takes over what an instance, or those of a data centre, have. */
   readonly applyCounts: (peer: string, counts: LoadCounts) => void;
-  readonly describeStanding: () => PeerStanding;
+  readonly describeStatus: () => PeerStatus;
 }
 
 /** Beyond this many each instance would tell the others seldomer than each 250 ms. */
-const MAX_DIRECT = 24;
+const MAX_DIRECT_INSTANCES = 24;
 /**
  * How often counts go out: changes of this long together. The more instances
  * there are, the seldomer, since each tells each. With a dozen the least times
  * hold.
  */
-interface Pace {
-  readonly leastMs: number;
+interface SendInterval {
+  readonly minMs: number;
   readonly perInstanceMs: number;
 }
 /** In the data centre; requests take 40 ms and more. */
-const NEAR: Pace = { leastMs: 40, perInstanceMs: 12 };
+const LOCAL_INTERVAL: SendInterval = { minMs: 40, perInstanceMs: 12 };
 /** Bytes across have a price; requests there take about this long in all. */
-const FAR: Pace = { leastMs: 250, perInstanceMs: 22 };
+const REMOTE_INTERVAL: SendInterval = { minMs: 250, perInstanceMs: 22 };
 /** Without a change, often enough for a receiver to take counts for current. */
-const REPEAT: Pace = { leastMs: 400, perInstanceMs: 16 };
+const REPEAT_INTERVAL: SendInterval = { minMs: 400, perInstanceMs: 16 };
 /** To the instance that gathers, which tells sums about as often. */
-const GATHER_MS = 100;
+const AGGREGATOR_INTERVAL_MS = 100;
 /** Sums within the data centre, and to those that pass them on in the others. */
-const SUM_NEAR_MS = 150;
-const SUM_FAR_MS = 300;
+const LOCAL_AGGREGATE_INTERVAL_MS = 150;
+const REMOTE_AGGREGATE_INTERVAL_MS = 300;
 /** What an instance told longer ago than this is left out of the sum. */
-const GATHERED_VALID_MS = 1_500;
+const REPORT_TTL_MS = 1_500;
 /** Between two looks; each wake-up costs about 0.1 ms. */
 const TICK_MS = 40;
 /** The same at an instance that only tells the one that gathers. */
-const GATHERED_TICK_MS = 100;
+const AGGREGATED_TICK_MS = 100;
 
-interface Told {
+interface ReportedCounts {
   readonly counts: LoadCounts;
   readonly atMs: number;
 }
 
 /** What went out last, as text, and when. */
-interface Sent {
+interface SentMessage {
   readonly text: string;
   readonly atMs: number;
 }
 
-const NEVER: Sent = { text: "", atMs: -Infinity };
+const NEVER_SENT: SentMessage = { text: "", atMs: -Infinity };
 
 export class LoadExchange {
   readonly #options: LoadExchangeOptions;
-  readonly #joiner = new PieceJoiner();
+  readonly #joiner = new FragmentAssembler();
   /** By instance of this data centre: what this one gathers. */
-  readonly #told = new Map<string, Told>();
+  readonly #reported = new Map<string, ReportedCounts>();
   /** What this instance has told last, which is part of the sum that it hears. */
-  #ownTold = NO_LOAD;
-  #near = NEVER;
-  #far = NEVER;
-  #sum = 0;
+  #lastReported = NO_LOAD;
+  #lastLocal = NEVER_SENT;
+  #lastRemote = NEVER_SENT;
+  #aggregateNumber = 0;
 
   constructor(options: LoadExchangeOptions) {
     this.#options = options;
@@ -105,27 +105,28 @@
       this.#advance();
       await sleepUntilTick(
         this.#options.clock,
-        this.#isGathered() ? GATHERED_TICK_MS : TICK_MS,
+        this.#isAggregated() ? AGGREGATED_TICK_MS : TICK_MS,
         signal,
       );
     }
   }
 
   /** Whether this instance tells only the one that gathers. */
-  #isGathered(): boolean {
+  #isAggregated(): boolean {
     const { members, duties } = this.#options;
-    return members.instanceCount > MAX_DIRECT && !duties.isLocalReader();
+    return members.instanceCount > MAX_DIRECT_INSTANCES &&
+      !duties.isLocalReader();
   }
 
   /** What an instance tells of itself. */
   applyLoad({ from, counts }: LoadMessage): void {
     const { clock, applyCounts } = this.#options;
-    this.#told.set(from, { counts, atMs: clock.readMs() });
+    this.#reported.set(from, { counts, atMs: clock.readMs() });
     applyCounts(from, counts);
   }
 
   /** What the instances of a data centre have together. */
-  applyGathered(message: GatheredMessage): void {
+  applyAggregate(message: GatheredMessage): void {
     const { dataCentre, duties, send, applyCounts } = this.#options;
     const { from, dataCentre: origin, number } = message;
     send(duties.listForwardReceivers(origin), message);
@@ -135,18 +136,18 @@
       return;
     }
     const others = origin === dataCentre
-      ? removeCounts(counts, this.#ownTold)
+      ? removeCounts(counts, this.#lastReported)
       : counts;
-    applyCounts(formatPlace(origin), others);
+    applyCounts(formatAggregateName(origin), others);
   }
 
   #advance(): void {
-    if (this.#options.members.instanceCount <= MAX_DIRECT) {
+    if (this.#options.members.instanceCount <= MAX_DIRECT_INSTANCES) {
       this.#sendDirectly();
-    } else if (this.#isGathered()) {
-      this.#sendToGatherer();
+    } else if (this.#isAggregated()) {
+      this.#sendToAggregator();
     } else {
-      this.#sendSums();
+      this.#sendAggregates();
     }
   }
 
@@ -155,89 +156,106 @@
     const nowMs = clock.readMs();
     const near = duties.listLocal();
     const far = duties.listRemote();
-    const nearMs = computeGapMs(NEAR, near.length);
-    const farMs = computeGapMs(FAR, far.length);
-    if (nowMs - this.#near.atMs < nearMs && nowMs - this.#far.atMs < farMs) {
+    const nearMs = computeIntervalMs(LOCAL_INTERVAL, near.length);
+    const farMs = computeIntervalMs(REMOTE_INTERVAL, far.length);
+    if (
+      nowMs - this.#lastLocal.atMs < nearMs &&
+      nowMs - this.#lastRemote.atMs < farMs
+    ) {
       return;
     }
     const message = this.#createMessage();
     const text = JSON.stringify(message);
-    const repeatMs = computeGapMs(REPEAT, near.length + far.length);
-    if (isDue(this.#near, { text, gapMs: nearMs, repeatMs, nowMs })) {
+    const repeatMs = computeIntervalMs(
+      REPEAT_INTERVAL,
+      near.length + far.length,
+    );
+    if (isDue(this.#lastLocal, { text, gapMs: nearMs, repeatMs, nowMs })) {
       send(near, message);
-      this.#near = { text, atMs: nowMs };
+      this.#lastLocal = { text, atMs: nowMs };
     }
-    if (isDue(this.#far, { text, gapMs: farMs, repeatMs, nowMs })) {
+    if (isDue(this.#lastRemote, { text, gapMs: farMs, repeatMs, nowMs })) {
       send(far, message);
-      this.#far = { text, atMs: nowMs };
+      this.#lastRemote = { text, atMs: nowMs };
     }
   }
 
-  #sendToGatherer(): void {
+  #sendToAggregator(): void {
     const { clock, duties, send } = this.#options;
     const nowMs = clock.readMs();
     const gatherer = duties.findLocalReader();
-    if (gatherer === undefined || nowMs - this.#near.atMs < GATHER_MS) {
+    if (
+      gatherer === undefined ||
+      nowMs - this.#lastLocal.atMs < AGGREGATOR_INTERVAL_MS
+    ) {
       return;
     }
     const message = this.#createMessage();
     const text = JSON.stringify(message);
-    const repeatMs = REPEAT.leastMs;
-    if (isDue(this.#near, { text, gapMs: GATHER_MS, repeatMs, nowMs })) {
-      this.#ownTold = message.counts;
+    const repeatMs = REPEAT_INTERVAL.minMs;
+    if (
+      isDue(this.#lastLocal, {
+        text,
+        gapMs: AGGREGATOR_INTERVAL_MS,
+        repeatMs,
+        nowMs,
+      })
+    ) {
+      this.#lastReported = message.counts;
       send([gatherer], message);
-      this.#near = { text, atMs: nowMs };
+      this.#lastLocal = { text, atMs: nowMs };
     }
   }
 
-  #sendSums(): void {
+  #sendAggregates(): void {
     const { clock, duties } = this.#options;
     const nowMs = clock.readMs();
-    const toNear = nowMs - this.#near.atMs >= SUM_NEAR_MS;
-    const toFar = nowMs - this.#far.atMs >= SUM_FAR_MS;
+    const toNear = nowMs - this.#lastLocal.atMs >= LOCAL_AGGREGATE_INTERVAL_MS;
+    const toFar = nowMs - this.#lastRemote.atMs >= REMOTE_AGGREGATE_INTERVAL_MS;
     if (!toNear && !toFar) {
       return;
     }
-    const pieces = encodeValue(this.#computeSum(nowMs)) ?? [];
-    this.#sum++;
+    const pieces = encodeValue(this.#computeAggregate(nowMs)) ?? [];
+    this.#aggregateNumber++;
     if (toNear) {
-      this.#sendPieces(duties.listLocal(), pieces);
-      this.#near = { text: "", atMs: nowMs };
+      this.#sendFragments(duties.listLocal(), pieces);
+      this.#lastLocal = { text: "", atMs: nowMs };
     }
     if (toFar) {
-      this.#sendPieces(duties.listRemoteReaders(), pieces);
-      this.#far = { text: "", atMs: nowMs };
+      this.#sendFragments(duties.listRemoteReaders(), pieces);
+      this.#lastRemote = { text: "", atMs: nowMs };
     }
   }
 
-  #computeSum(nowMs: number): LoadCounts {
+  #computeAggregate(nowMs: number): LoadCounts {
     const all = [this.#options.readCounts()];
-    for (const [instance, { counts, atMs }] of this.#told) {
-      if (nowMs - atMs < GATHERED_VALID_MS) {
+    for (const [instance, { counts, atMs }] of this.#reported) {
+      if (nowMs - atMs < REPORT_TTL_MS) {
         all.push(counts);
       } else {
-        this.#told.delete(instance);
+        this.#reported.delete(instance);
       }
     }
     return mergeCounts(all);
   }
 
-  #sendPieces(to: readonly Member[], pieces: readonly Piece[]): void {
+  #sendFragments(to: readonly Member[], pieces: readonly Fragment[]): void {
     const { instance: from, dataCentre, send } = this.#options;
-    const number = this.#sum;
+    const number = this.#aggregateNumber;
     for (const piece of pieces) {
       send(to, { kind: "gathered-load", from, dataCentre, number, ...piece });
     }
   }
 
   #createMessage(): LoadMessage {
-    const { instance: from, describeStanding, readCounts } = this.#options;
+    const { instance: from, describeStatus: describeStanding, readCounts } =
+      this.#options;
     return { kind: "load", from, ...describeStanding(), counts: readCounts() };
   }
 }
 
 /** No instance has such a name. */
-function formatPlace(dataCentre: string): string {
+function formatAggregateName(dataCentre: string): string {
   return `all of ${dataCentre}`;
 }
 
@@ -249,11 +267,14 @@
     : undefined;
 }
 
-function computeGapMs({ leastMs, perInstanceMs }: Pace, count: number): number {
+function computeIntervalMs(
+  { minMs: leastMs, perInstanceMs }: SendInterval,
+  count: number,
+): number {
   return Math.max(leastMs, perInstanceMs * count);
 }
 
-function isDue(last: Sent, now: {
+function isDue(last: SentMessage, now: {
   readonly text: string;
   readonly gapMs: number;
   readonly repeatMs: number;
--- a/packages/gateway/src/peers/load_exchange_test.ts
+++ b/packages/gateway/src/peers/load_exchange_test.ts
@@ -52,7 +52,7 @@
         }),
         applyCounts: (peer, counts) =>
           this.known.get(self.instance)!.set(peer, counts),
-        describeStanding: () => STANDING,
+        describeStatus: () => STANDING,
         send: (to, message) =>
           this.#send(self.instance, to, message, exchanges),
       });
@@ -104,7 +104,7 @@
       if (message.kind === "load") {
         exchange.applyLoad(message);
       } else if (message.kind === "gathered-load") {
-        exchange.applyGathered(message);
+        exchange.applyAggregate(message);
       }
     }
   }
--- a/packages/gateway/src/peers/peer_dispatch.ts
+++ b/packages/gateway/src/peers/peer_dispatcher.ts
@@ -6,7 +6,7 @@
 import type { KeyTraffic } from "../keeper/key_traffic.ts";
 import type { LoadExchange } from "./load_exchange.ts";
 import type { Members } from "../members/members.ts";
-import type { PeerMessage, PeerStanding } from "./peer_message.ts";
+import type { PeerMessage, PeerStatus } from "./peer_message.ts";
 import type { RequestQuarantine } from "../requests/request_quarantine.ts";
 import type { StoreViews } from "../views/store_views.ts";
 import type { TableRequests } from "../views/table_requests.ts";
@@ -16,7 +16,7 @@
 
 type MemberMessage = PeerMessage & { readonly kind: "member" };
 
-export interface PeerDispatchOptions {
+export interface PeerDispatcherOptions {
   readonly clock: Clock;
   readonly members: Members;
   readonly duties: Duties;
@@ -33,10 +33,10 @@
   readonly reportFault: (message: string) => void;
 }
 
-export class PeerDispatch {
-  readonly #options: PeerDispatchOptions;
+export class PeerDispatcher {
+  readonly #options: PeerDispatcherOptions;
 
-  constructor(options: PeerDispatchOptions) {
+  constructor(options: PeerDispatcherOptions) {
     this.#options = options;
   }
 
@@ -47,13 +47,13 @@
     switch (message.kind) {
       case "load":
         loads.applyLoad(message);
-        this.#applyStanding(message.from, message);
+        this.#applyStatus(message.from, message);
         return;
       case "gathered-load":
-        loads.applyGathered(message);
+        loads.applyAggregate(message);
         return;
       case "alive":
-        this.#applyStanding(message.from, message);
+        this.#applyStatus(message.from, message);
         return;
       case "member":
         this.#applyMember(message);
@@ -103,15 +103,15 @@
     }
   }
 
-  #applyStanding(from: string, standing: PeerStanding): void {
+  #applyStatus(from: string, standing: PeerStatus): void {
     const { clock, members, views } = this.#options;
     members.recordStoreStatus(from, standing.hasLostStore, clock.readMs());
     if (members.get(from) === undefined) {
-      views.readMembers();
+      views.scheduleMembersRead();
     }
     views.applyConfigurationEnd(
       standing.configurationEnd,
-      this.#hasNewest(from),
+      this.#isFollowingConfiguration(from),
     );
     for (const [part, end] of standing.ends) {
       views.applyOwnersEnd(part, end, from);
@@ -119,7 +119,7 @@
   }
 
   /** Whether an instance reads each change of the configuration at once. */
-  #hasNewest(instance: string): boolean {
+  #isFollowingConfiguration(instance: string): boolean {
     const { duties, members } = this.#options;
     return duties.hasCandidate(instance) && !members.hasLostStore(instance);
   }
--- a/packages/gateway/src/peers/peer_message.ts
+++ b/packages/gateway/src/peers/peer_message.ts
@@ -2,17 +2,17 @@
 import type { InstanceDemand } from "@lentilspur/routing/account_limiter";
 import type { PermitDecision } from "@lentilspur/routing/request_pacer";
 import type { SuspectReport } from "@lentilspur/routing/crash_suspects";
-import type { Piece } from "./datagram_pieces.ts";
+import type { Fragment } from "./datagram_fragments.ts";
 import type { KeeperMessage } from "../keeper/keeper_exchange.ts";
 import type { LoadCounts } from "./load_counts.ts";
 import type { LimitReport } from "../requests/limit_report.ts";
-import type { TailSlice } from "../views/partition_tail.ts";
+import type { RecordBatch } from "../views/partition_view.ts";
 
 /** First and last key, and the token under which they were granted. */
 export type GrantedKeys = readonly [from: number, to: number, token: number];
 
 /** What an instance says of itself again and again. */
-export interface PeerStanding {
+export interface PeerStatus {
   /** Up to where it has read the configuration's partition. */
   readonly configurationEnd: number;
   /** The store does not answer it. */
@@ -27,7 +27,7 @@
     readonly kind: "load";
     readonly from: string;
     readonly counts: LoadCounts;
-  } & PeerStanding)
+  } & PeerStatus)
   | ({
     /** What all instances of a data centre have together, packed. */
     readonly kind: "gathered-load";
@@ -35,9 +35,9 @@
     readonly dataCentre: string;
     /** Which sum of the sender's it is. */
     readonly number: number;
-  } & Piece)
+  } & Fragment)
   /** That the sender is there. */
-  | ({ readonly kind: "alive"; readonly from: string } & PeerStanding)
+  | ({ readonly kind: "alive"; readonly from: string } & PeerStatus)
   | {
     /** The sender's own record, as it has just written it. */
     readonly kind: "member";
@@ -57,14 +57,14 @@
     /** What a read of the targets' entries gave. */
     readonly kind: "targets";
     readonly from: string;
-  } & TailSlice)
+  } & RecordBatch)
   | ({
     /** What a read of the configuration's partition gave, packed. */
     readonly kind: "configuration";
     readonly from: string;
     /** Up to where it goes. */
     readonly end: number;
-  } & Piece)
+  } & Fragment)
   | ({
     /**
      * A table of owners that a keeper has written: what differs from the table
@@ -77,7 +77,7 @@
     /** Whoever knows the partition up to here knows the table before. */
     readonly since: number;
     readonly service: string;
-  } & Piece)
+  } & Fragment)
   | {
     /** Asks the keeper of a partition of owners for its tables. */
     readonly kind: "table-request";
@@ -92,7 +92,7 @@
     /** Of its record, or of a later one that changes nothing of it. */
     readonly offset: number;
     readonly service: string;
-  } & Piece)
+  } & Fragment)
   | {
     /** Ranges that have reached their new owners; a record says so later. */
     readonly kind: "granted";
--- a/packages/gateway/src/peers/peer_message_check.ts
+++ b/packages/gateway/src/peers/peer_message_check.ts
@@ -1,8 +1,8 @@
 /** Whether what came in a datagram is one of the messages, whole and of its types. */
 import type { PermitDecision } from "@lentilspur/routing/request_pacer";
 import type { SuspectReport } from "@lentilspur/routing/crash_suspects";
-import type { Piece } from "./datagram_pieces.ts";
-import type { PeerMessage, PeerStanding } from "./peer_message.ts";
+import type { Fragment } from "./datagram_fragments.ts";
+import type { PeerMessage, PeerStatus } from "./peer_message.ts";
 import type { LimitReport } from "../requests/limit_report.ts";
 
 export function isPeerMessage(
@@ -15,12 +15,12 @@
     case "load":
       return typeof message.counts?.running === "object" &&
         typeof message.counts.waiting === "object" &&
-        Number.isInteger(message.counts.instances) && isStanding(message);
+        Number.isInteger(message.counts.instances) && isPeerStatus(message);
     case "gathered-load":
       return typeof message.dataCentre === "string" &&
-        Number.isInteger(message.number) && isPiece(message);
+        Number.isInteger(message.number) && isFragment(message);
     case "alive":
-      return isStanding(message);
+      return isPeerStatus(message);
     case "member":
       return Number.isInteger(message.offset) &&
         typeof message.record === "string";
@@ -32,17 +32,17 @@
       return Number.isInteger(message.base) && Number.isInteger(message.end) &&
         Number.isFinite(message.ageMs) && Array.isArray(message.records);
     case "configuration":
-      return Number.isInteger(message.end) && isPiece(message);
+      return Number.isInteger(message.end) && isFragment(message);
     case "owners":
       return Number.isInteger(message.part) &&
         Number.isInteger(message.offset) && Number.isInteger(message.since) &&
-        typeof message.service === "string" && isPiece(message);
+        typeof message.service === "string" && isFragment(message);
     case "table-request":
       return Number.isInteger(message.part);
     case "table":
       return Number.isInteger(message.part) &&
         Number.isInteger(message.offset) &&
-        typeof message.service === "string" && isPiece(message);
+        typeof message.service === "string" && isFragment(message);
     case "granted":
       return typeof message.service === "string" &&
         Array.isArray(message.ranges);
@@ -81,8 +81,8 @@
   }
 }
 
-function isStanding(
-  { configurationEnd, hasLostStore, ends }: PeerStanding,
+function isPeerStatus(
+  { configurationEnd, hasLostStore, ends }: PeerStatus,
 ): boolean {
   return Number.isInteger(configurationEnd) &&
     typeof hasLostStore === "boolean" &&
@@ -123,7 +123,7 @@
   return ageMs === null || Number.isFinite(ageMs);
 }
 
-function isPiece({ text, piece, pieces }: Piece): boolean {
+function isFragment({ text, piece, pieces }: Fragment): boolean {
   return typeof text === "string" && Number.isInteger(piece) &&
     Number.isInteger(pieces);
 }
--- a/packages/gateway/src/peers/peer_exchange.ts
+++ b/packages/gateway/src/peers/peer_transport.ts
@@ -6,19 +6,19 @@
 import type { Clock } from "@lentilspur/ports/clock";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
 import type { Member } from "../members/members.ts";
-import type { PeerMessage, PeerStanding } from "./peer_message.ts";
+import type { PeerMessage, PeerStatus } from "./peer_message.ts";
 import { isPeerMessage } from "./peer_message_check.ts";
 
-export interface PeerExchangeOptions {
+export interface PeerTransportOptions {
   readonly clock: Clock;
   readonly host: string;
   readonly port: number;
   readonly instance: string;
   /** Whom to tell often that this instance is there. */
-  readonly listListeners: () => readonly Member[];
-  readonly describeStanding: () => PeerStanding;
+  readonly listHeartbeatReceivers: () => readonly Member[];
+  readonly describeStatus: () => PeerStatus;
   /** Whether this instance is to say often that it is there. */
-  readonly isSpeaker: () => boolean;
+  readonly isHeartbeatSender: () => boolean;
   readonly handle: (message: PeerMessage) => void;
   /** A message that is none of the above, or a socket's failure. */
   readonly reportFault: (message: string) => void;
@@ -28,21 +28,21 @@
  * An instance that does work for others says at least this often that it is
  * there: where there are many, most loads go to one instance only.
  */
-const ALIVE_EVERY_MS = 500;
+const HEARTBEAT_INTERVAL_MS = 500;
 /** Between two looks at whether there is news to say. */
 const TICK_MS = 40;
 /** The same where nothing is to be said; each wake-up costs about 0.1 ms. */
 const IDLE_TICK_MS = 250;
 /** A datagram above this may be cut into parts and lost as a whole. */
-const MAX_BYTES = 1_400;
+const MAX_DATAGRAM_BYTES = 1_400;
 
-export class PeerExchange {
-  readonly #options: PeerExchangeOptions;
+export class PeerTransport {
+  readonly #options: PeerTransportOptions;
   readonly #socket: Socket;
   #isClosed = false;
-  #alive = { text: "", atMs: -Infinity };
+  #lastHeartbeat = { text: "", atMs: -Infinity };
 
-  constructor(options: PeerExchangeOptions) {
+  constructor(options: PeerTransportOptions) {
     this.#options = options;
     this.#socket = createSocket("udp4");
     this.#socket.on(
@@ -69,8 +69,8 @@
 
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.#sendAlive();
-      const tickMs = this.#options.isSpeaker() ? TICK_MS : IDLE_TICK_MS;
+      this.#sendHeartbeat();
+      const tickMs = this.#options.isHeartbeatSender() ? TICK_MS : IDLE_TICK_MS;
       await sleepUntilTick(this.#options.clock, tickMs, signal);
     }
   }
@@ -85,7 +85,7 @@
 
   #sendText(to: readonly Member[], text: string): boolean {
     const data = Buffer.from(text);
-    if (data.byteLength > MAX_BYTES || this.#isClosed) {
+    if (data.byteLength > MAX_DATAGRAM_BYTES || this.#isClosed) {
       return false;
     }
     for (const member of to) {
@@ -95,9 +95,13 @@
   }
 
   /** What is news goes out at once: a new configuration, a store that is away. */
-  #sendAlive(): void {
-    const { clock, instance: from, describeStanding, isSpeaker } =
-      this.#options;
+  #sendHeartbeat(): void {
+    const {
+      clock,
+      instance: from,
+      describeStatus: describeStanding,
+      isHeartbeatSender: isSpeaker,
+    } = this.#options;
     if (!isSpeaker()) {
       return;
     }
@@ -105,10 +109,11 @@
     const message = { kind: "alive", from, ...describeStanding() } as const;
     const text = JSON.stringify(message);
     if (
-      text !== this.#alive.text || nowMs - this.#alive.atMs >= ALIVE_EVERY_MS
+      text !== this.#lastHeartbeat.text ||
+      nowMs - this.#lastHeartbeat.atMs >= HEARTBEAT_INTERVAL_MS
     ) {
-      this.#alive = { text, atMs: nowMs };
-      this.#sendText(this.#options.listListeners(), text);
+      this.#lastHeartbeat = { text, atMs: nowMs };
+      this.#sendText(this.#options.listHeartbeatReceivers(), text);
     }
   }
 
--- a/packages/gateway/src/requests/request_quarantine.ts
+++ b/packages/gateway/src/requests/request_quarantine.ts
@@ -28,7 +28,7 @@
 import { getFingerprint, type RequestContext } from "./request_context.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 import type { PeerOptions } from "../peers/peer_options.ts";
-import { splitReports } from "../peers/report_batches.ts";
+import { splitReports } from "../peers/report_datagrams.ts";
 import { hashToShortText } from "../members/stable_hash.ts";
 
 type SuspectsMessage = PeerMessage & { readonly kind: "suspects" };
--- a/packages/gateway/src/requests/service_registry.ts
+++ b/packages/gateway/src/requests/service_registry.ts
@@ -77,7 +77,7 @@
     const nowMs = clock.readMs();
     for (const name of catalogue.table?.services.keys() ?? []) {
       const places = this.#getPlaces(name);
-      places.setTargets(catalogue.listForWork(name));
+      places.setTargets(catalogue.listForNewWork(name));
       places.setMaxWaiting(this.#getMaxWaiting(name));
       places.dispatchQueued(nowMs);
     }
@@ -269,7 +269,7 @@
     if (places === undefined) {
       places = new ServicePlaces(this.#options);
       this.#places.set(service, places);
-      places.setTargets(this.#options.catalogue.listForWork(service));
+      places.setTargets(this.#options.catalogue.listForNewWork(service));
       places.setMaxWaiting(this.#getMaxWaiting(service));
     }
     return places;
--- a/packages/gateway/src/requests/target_limits.ts
+++ b/packages/gateway/src/requests/target_limits.ts
@@ -16,7 +16,7 @@
 import type { LimitReport } from "./limit_report.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 import type { PeerOptions } from "../peers/peer_options.ts";
-import { splitReports } from "../peers/report_batches.ts";
+import { splitReports } from "../peers/report_datagrams.ts";
 
 type LimitsMessage = PeerMessage & { readonly kind: "limits" };
 
--- a/packages/gateway/src/views/catalogue.ts
+++ b/packages/gateway/src/views/catalogue.ts
@@ -22,7 +22,7 @@
 import type { TargetIncarnation } from "@lentilspur/routing/target_incarnation";
 import type { CatalogueEvent, Withdrawal } from "./catalogue_event.ts";
 import { Evacuations } from "./evacuations.ts";
-import { TargetSightings } from "./target_sightings.ts";
+import { TargetFirstSeenTimes } from "./target_first_seen_times.ts";
 
 export interface CatalogueOptions {
   readonly decodeConfiguration: (text: string) => Result<RoutingTable, string>;
@@ -37,10 +37,10 @@
  * Entries that lapsed during an outage are back about 2 s after its end; a
  * reader that polls twice a second sees the last of them a little later.
  */
-export const RETURN_GRACE_MS = 2_500;
+export const EXPIRED_ENTRY_GRACE_MS = 2_500;
 
 /** Entries of one read are taken over within this; reads are 750 ms apart. */
-const SAME_READ_MS = 300;
+const SAME_READ_WINDOW_MS = 300;
 /** An entry is read at most this long after it was written. */
 const ENTRY_DELAY_MS = 800;
 /**
@@ -64,7 +64,7 @@
   readonly #options: CatalogueOptions;
   readonly #targets = new Map<string, Entry>();
   readonly #evacuations = new Evacuations();
-  readonly #sightings = new TargetSightings();
+  readonly #firstSeenTimes = new TargetFirstSeenTimes();
   #table: RoutingTable | undefined;
   #index = new RouteIndex([]);
   #targetsChanged = false;
@@ -103,7 +103,7 @@
   }
 
   /** Whether an entry would change what is known of its target. */
-  isNews(id: string, text: string, nowMs: number): boolean {
+  isChange(id: string, text: string, nowMs: number): boolean {
     const known = this.#targets.get(id);
     if (text === "") {
       return known !== undefined && known.goneAtMs === null;
@@ -112,7 +112,7 @@
     if (!decoded.ok) {
       return true;
     }
-    return this.#findOldness(decoded.val) === undefined &&
+    return this.#describeStaleness(decoded.val) === undefined &&
       (known === undefined || known.goneAtMs !== null ||
         !isSame(known.target, decoded.val) ||
         isColder(known.target, decoded.val, nowMs));
@@ -133,7 +133,7 @@
       this.#reportIgnored(id, decoded.val);
       return;
     }
-    const oldness = this.#findOldness(decoded.val);
+    const oldness = this.#describeStaleness(decoded.val);
     if (oldness !== undefined) {
       this.#reportIgnored(id, oldness);
       return;
@@ -235,13 +235,13 @@
     }
     const { leavingSinceMs, missingSinceMs, target } = known;
     return leavingSinceMs === null && missingSinceMs !== null &&
-        this.#hasLapsed(target.service)
+        this.#hasMassExpiry(target.service)
       ? null
       : leavingSinceMs ?? missingSinceMs;
   }
 
   /** Targets of a service; those that get no new work are marked as leaving. */
-  listForWork(service: string): readonly KnownTarget[] {
+  listForNewWork(service: string): readonly KnownTarget[] {
     return this.listTargets(service).map((target) =>
       target.leaving || this.findWithdrawal(target.id) === null
         ? target
@@ -270,16 +270,16 @@
    */
   hasEnded(life: Assignee): boolean {
     const { id, address } = life;
-    const seenAtMs = this.#sightings.findLifeMs(life);
+    const seenAtMs = this.#firstSeenTimes.findFirstSeenMs(life);
     if (seenAtMs === undefined) {
       return false;
     }
     for (const { target } of this.#targets.values()) {
-      const otherAtMs = this.#sightings.getNewestMs(target.id);
+      const otherAtMs = this.#firstSeenTimes.getNewestFirstSeenMs(target.id);
       if (
         target.id !== id && target.address === address &&
         this.#table?.services.has(target.service) === true &&
-        otherAtMs > seenAtMs + SAME_READ_MS
+        otherAtMs > seenAtMs + SAME_READ_WINDOW_MS
       ) {
         return true;
       }
@@ -301,8 +301,10 @@
   }
 
   /** Why an entry is older than what is known of its target; it is left out. */
-  #findOldness({ id, bornMs, sequence }: RoutingTarget): string | undefined {
-    const seen = this.#sightings.getBornMs(id);
+  #describeStaleness(
+    { id, bornMs, sequence }: RoutingTarget,
+  ): string | undefined {
+    const seen = this.#firstSeenTimes.getBornMs(id);
     if (seen === undefined) {
       return undefined;
     }
@@ -336,7 +338,7 @@
       }
       return;
     }
-    this.#sightings.record(target, nowMs);
+    this.#firstSeenTimes.record(target, nowMs);
     const isSameLife = known !== undefined &&
       known.target.bornMs === target.bornMs;
     // One that has said that it leaves does not come back in this life.
@@ -369,7 +371,7 @@
     this.#options.observe({ kind: "target-cold", targetId, service, forMs });
   }
 
-  #hasLapsed(service: string): boolean {
+  #hasMassExpiry(service: string): boolean {
     let missing = 0;
     let all = 0;
     for (const { target, missingSinceMs } of this.#targets.values()) {
--- a/packages/gateway/src/views/catalogue_test.ts
+++ b/packages/gateway/src/views/catalogue_test.ts
@@ -5,7 +5,7 @@
   RoutingTable,
   RoutingTarget,
 } from "@lentilspur/ports/routing_table";
-import { Catalogue, RETURN_GRACE_MS } from "./catalogue.ts";
+import { Catalogue, EXPIRED_ENTRY_GRACE_MS } from "./catalogue.ts";
 import type { CatalogueEvent } from "./catalogue_event.ts";
 
 function createCatalogue() {
@@ -105,13 +105,13 @@
   const { catalogue } = createCatalogue();
   catalogue.applyTarget("a", formatTarget(), NOW);
   catalogue.applyTarget("b", formatTarget({ id: "b" }), NOW);
-  const missing = { nowMs: 0, graceMs: RETURN_GRACE_MS };
+  const missing = { nowMs: 0, graceMs: EXPIRED_ENTRY_GRACE_MS };
   catalogue.applyTarget("a", "", missing);
   catalogue.applyTarget("b", "", missing);
   catalogue.applyTarget("a", formatTarget(), { nowMs: 1_800, graceMs: 0 });
   catalogue.advance(1_900);
   assert.equal(catalogue.targetCount, 2);
-  catalogue.advance(RETURN_GRACE_MS);
+  catalogue.advance(EXPIRED_ENTRY_GRACE_MS);
   assert.ok(catalogue.getTarget("a") !== undefined);
   assert.ok(catalogue.getTarget("b") === undefined);
 });
@@ -150,18 +150,20 @@
   for (const id of ["a", "b", "c"]) {
     catalogue.applyTarget(id, formatTarget({ id }), NOW);
   }
-  const missing = { nowMs: 100, graceMs: RETURN_GRACE_MS };
+  const missing = { nowMs: 100, graceMs: EXPIRED_ENTRY_GRACE_MS };
   catalogue.applyTarget("a", "", missing);
   catalogue.advance(200);
   assert.equal(catalogue.getLeavingSinceMs("a"), 100);
   assert.deepEqual(
-    catalogue.listForWork("ledger").filter(({ leaving }) => !leaving)
+    catalogue.listForNewWork("ledger").filter(({ leaving }) => !leaving)
       .map(({ id }) => id),
     ["b", "c"],
   );
   // Where most go at once, they have lapsed, and serve on.
   catalogue.applyTarget("b", "", missing);
-  assert.ok(catalogue.listForWork("ledger").every(({ leaving }) => !leaving));
+  assert.ok(
+    catalogue.listForNewWork("ledger").every(({ leaving }) => !leaving),
+  );
 });
 
 test("an unreadable entry is left out and told", () => {
@@ -197,7 +199,7 @@
   const life = { bornMs: 9_000, sequence: 2 };
   catalogue.applyTarget("a", formatTarget(life), NOW);
   const earlier = formatTarget({ bornMs: 1_000, sequence: 80, leaving: true });
-  assert.ok(!catalogue.isNews("a", earlier, 0), "nor is it passed on");
+  assert.ok(!catalogue.isChange("a", earlier, 0), "nor is it passed on");
   catalogue.applyTarget("a", earlier, NOW);
   // Nor does it once the entry of the later life has gone.
   catalogue.applyTarget("a", "", NOW);
@@ -274,7 +276,7 @@
   assert.ok(catalogue.advance(10));
   catalogue.applyTarget("c", formatTarget({ id: "c" }), NOW);
   const listLeaving = () =>
-    catalogue.listForWork("ledger").map(({ leaving }) => leaving);
+    catalogue.listForNewWork("ledger").map(({ leaving }) => leaving);
   assert.deepEqual(listLeaving(), [true, false, true]);
   assert.deepEqual(catalogue.findWithdrawal("c"), {
     reason: "evacuated",
@@ -298,7 +300,7 @@
   catalogue.applyTarget("a", late, { nowMs: 1_700, graceMs: 0 });
   assert.equal(catalogue.getTarget("a")?.coldUntilMs, 3_000);
   const again = formatTarget({ coldMs: 3_000, sequence: 3 });
-  assert.ok(catalogue.isNews("a", again, 5_000));
+  assert.ok(catalogue.isChange("a", again, 5_000));
   catalogue.applyTarget("a", again, { nowMs: 5_000, graceMs: 0 });
   assert.equal(catalogue.getTarget("a")?.coldUntilMs, 8_000);
 });
--- a/packages/gateway/src/views/partition_tail.ts
+++ b/packages/gateway/src/views/partition_view.ts
@@ -16,9 +16,9 @@
   StoreRecord,
 } from "@lentilspur/ports/store";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
-import { ReadWatch } from "./read_watch.ts";
+import { ReadWatchdog } from "./read_watchdog.ts";
 
-export type TailEvent =
+export type PartitionViewEvent =
   | {
     readonly kind: "lost";
     readonly partition: Partition;
@@ -40,34 +40,34 @@
     readonly receivedBytes: number;
   };
 
-export interface PartitionTailOptions {
+export interface PartitionViewOptions {
   readonly clock: Clock;
   readonly store: Store;
   readonly partition: Partition;
-  readonly getPace: () => TailPace;
+  readonly getPollingPolicy: () => PollingPolicy;
   /** Whether a record is of no use once the key has a newer one; false if left out. */
   readonly isNewestOnly?: boolean;
   /** Called for each record in order; an empty value means that the key is gone. */
   readonly apply: (record: StoreRecord) => void;
-  readonly observe: (event: TailEvent) => void;
+  readonly observe: (event: PartitionViewEvent) => void;
   /** Told of each read of the partition's end. */
-  readonly onRead?: (slice: TailSlice) => void;
+  readonly onRead?: (slice: RecordBatch) => void;
 }
 
 /** How often a partition is read; it may change with this instance's part. */
-export interface TailPace {
+export interface PollingPolicy {
   /** Pause after each read; each call has a price, and many records come at once. */
-  readonly gapMs: number;
+  readonly pollDelayMs: number;
   /** How long a read may wait at the store for a record. */
   readonly waitMs: number;
   /** What others pass on or confirm counts as read for this long; 0: not at all. */
-  readonly validMs: number;
+  readonly peerDataTtlMs: number;
   /** Longest pause between two reads that fail. */
-  readonly maxPauseMs: number;
+  readonly maxBackoffMs: number;
 }
 
 /** What stands in a partition from one offset up to another. */
-export interface TailSlice {
+export interface RecordBatch {
   readonly base: number;
   readonly end: number;
   /** How long ago this was so. */
@@ -79,40 +79,40 @@
 }
 
 /** First pause after a failed read; each further one is twice as long. */
-const MIN_PAUSE_MS = 100;
+const MIN_BACKOFF_MS = 100;
 /** A change of pace is noticed within this. */
-const LOOK_MS = 250;
+const POLICY_CHECK_MS = 250;
 /**
  * A read that stands still for this long while there is news is given up: its
  * connection has gone silent, or a store that has just come back goes on holding
  * it. A slow store answers in 240 ms.
  */
-const MIN_PATIENCE_MS = 400;
+const MIN_STALL_TIMEOUT_MS = 400;
 /**
  * Each read that was given up doubles it, up to this: a store with more to send
  * than it can begins its answers late, and would be asked the same again and
  * again by all.
  */
-const MAX_PATIENCE_MS = 1_600;
+const MAX_STALL_TIMEOUT_MS = 1_600;
 
 /** In place of an offset: the newest record of each key is read. */
 const NEWEST = "newest";
 
-export class PartitionTail {
-  readonly #options: PartitionTailOptions;
-  readonly #newest = new Map<string, StoreRecord>();
+export class PartitionView {
+  readonly #options: PartitionViewOptions;
+  readonly #newestRecords = new Map<string, StoreRecord>();
   #end = -1;
   #confirmedAtMs = -Infinity;
-  #toldAtMs = -Infinity;
+  #peerConfirmedAtMs = -Infinity;
   #lostAtMs: number | null = null;
   #regainedAtMs = -Infinity;
-  #pauseMs = MIN_PAUSE_MS;
-  #patienceMs = MIN_PATIENCE_MS;
+  #backoffMs = MIN_BACKOFF_MS;
+  #stallTimeoutMs = MIN_STALL_TIMEOUT_MS;
   #wake: (() => void) | undefined;
   #isScheduled = false;
   #isAbandoned = false;
 
-  constructor(options: PartitionTailOptions) {
+  constructor(options: PartitionViewOptions) {
     this.#options = options;
   }
 
@@ -130,13 +130,13 @@
    * The store said at this time that the partition was as known here; own clock.
    * What others say does not count: a keeper acts by this.
    */
-  get confirmedAtMs(): number {
+  get storeConfirmedAtMs(): number {
     return this.#confirmedAtMs;
   }
 
   /** As above, by the store's word or that of others. */
-  get currentAtMs(): number {
-    return Math.max(this.#confirmedAtMs, this.#toldAtMs);
+  get currentAsOfMs(): number {
+    return Math.max(this.#confirmedAtMs, this.#peerConfirmedAtMs);
   }
 
   /** When the store last answered again after it had not; own clock. */
@@ -144,17 +144,17 @@
     return this.#regainedAtMs;
   }
 
-  get isLost(): boolean {
+  get hasLostStore(): boolean {
     return this.#lostAtMs !== null;
   }
 
   getRecord(key: string): StoreRecord | undefined {
-    return this.#newest.get(key);
+    return this.#newestRecords.get(key);
   }
 
   /** Another instance says that nothing has changed, or that this one wrote it. */
-  recordTold(atMs: number): void {
-    this.#toldAtMs = Math.max(this.#toldAtMs, atMs);
+  recordPeerConfirmation(atMs: number): void {
+    this.#peerConfirmedAtMs = Math.max(this.#peerConfirmedAtMs, atMs);
   }
 
   /**
@@ -168,7 +168,7 @@
   }
 
   /** Takes over what another instance has read, if nothing is missing before it. */
-  applySlice(slice: TailSlice): void {
+  applyBatch(slice: RecordBatch): void {
     if (slice.end < this.#end || !this.isLoaded) {
       return;
     }
@@ -181,7 +181,7 @@
       const regainedAtMs = nowMs - slice.sinceOutageMs;
       this.#regainedAtMs = Math.max(this.#regainedAtMs, regainedAtMs);
     }
-    this.recordTold(nowMs - slice.ageMs);
+    this.recordPeerConfirmation(nowMs - slice.ageMs);
     for (const record of slice.records) {
       if (record.offset >= this.#end) {
         this.#applyRecord(record);
@@ -195,7 +195,7 @@
     signal.addEventListener("abort", () => this.#wake?.(), { once: true });
     while (!signal.aborted) {
       this.#isScheduled = false;
-      const pauseMs = await this.#advance();
+      const pauseMs = await this.#readOnce();
       await clock.sleep(pauseMs, signal);
       await this.#waitUntilDue(signal);
     }
@@ -203,32 +203,33 @@
 
   /** While others pass on what they read, there is nothing to read here. */
   async #waitUntilDue(signal: AbortSignal): Promise<void> {
-    const { clock, getPace } = this.#options;
+    const { clock, getPollingPolicy: getPace } = this.#options;
     while (
-      !signal.aborted && !this.#isScheduled && !this.isLost && this.isLoaded
+      !signal.aborted && !this.#isScheduled && !this.hasLostStore &&
+      this.isLoaded
     ) {
-      const dueAtMs = this.currentAtMs + getPace().validMs;
+      const dueAtMs = this.currentAsOfMs + getPace().peerDataTtlMs;
       const leftMs = dueAtMs - clock.readMs();
       if (leftMs <= 0) {
         return;
       }
       const wake = new AbortController();
       this.#wake = () => wake.abort();
-      await (leftMs < LOOK_MS
+      await (leftMs < POLICY_CHECK_MS
         ? clock.sleep(leftMs, wake.signal)
-        : sleepUntilTick(clock, LOOK_MS, wake.signal));
+        : sleepUntilTick(clock, POLICY_CHECK_MS, wake.signal));
       this.#wake = undefined;
     }
   }
 
   /** One read; gives the pause before the next. */
-  async #advance(): Promise<number> {
-    const { clock, getPace } = this.#options;
-    const { gapMs } = getPace();
+  async #readOnce(): Promise<number> {
+    const { clock, getPollingPolicy: getPace } = this.#options;
+    const { pollDelayMs: gapMs } = getPace();
     const sentAtMs = clock.readMs();
-    const base = this.#chooseBase();
-    const watch = new ReadWatch(clock, this.#patienceMs);
-    this.#wake = () => watch.recordNews();
+    const base = this.#chooseStart();
+    const watch = new ReadWatchdog(clock, this.#stallTimeoutMs);
+    this.#wake = () => watch.recordPendingChange();
     const read = await watch.wait(this.#startRead(base, watch));
     this.#wake = undefined;
     this.#isAbandoned = read === undefined;
@@ -238,10 +239,10 @@
     if (!read.ok) {
       return this.#handleFailure(read.val);
     }
-    this.#patienceMs = MIN_PATIENCE_MS;
-    this.#recordContact(sentAtMs);
+    this.#stallTimeoutMs = MIN_STALL_TIMEOUT_MS;
+    this.#recordStoreResponse(sentAtMs);
     if (base === NEWEST) {
-      this.#mergeWhole(read.val.records);
+      this.#mergeSnapshot(read.val.records);
       this.#end = Math.max(this.#end, read.val.end);
     } else {
       this.#applyRead(base, read.val.records, sentAtMs);
@@ -254,34 +255,38 @@
    * 216 kB: to read them all takes a link of 7 Mbit/s 3 s, and all but the newest
    * are of no use.
    */
-  #chooseBase(): number | typeof NEWEST {
-    const isBehind = this.#options.isNewestOnly === true && this.#isBehind();
+  #chooseStart(): number | typeof NEWEST {
+    const isBehind = this.#options.isNewestOnly === true &&
+      this.#hasLastReadFailed();
     return !this.isLoaded || isBehind ? NEWEST : this.#end;
   }
 
   /** Whether the last read has brought nothing. */
-  #isBehind(): boolean {
-    return this.isLost || this.#isAbandoned;
+  #hasLastReadFailed(): boolean {
+    return this.hasLostStore || this.#isAbandoned;
   }
 
   #startRead(
     base: number | typeof NEWEST,
-    watch: ReadWatch,
+    watch: ReadWatchdog,
   ): Promise<Result<StoreReadResult, StoreFailure>> {
-    const { store, partition, getPace } = this.#options;
+    const { store, partition, getPollingPolicy: getPace } = this.#options;
     const onData = (bytes: number): void => watch.recordData(bytes);
     const { signal } = watch;
     if (base === NEWEST) {
       return store.readNewest(partition, { onData, signal });
     }
     // A store that is away shows its return in a short call, not a long one.
-    const waitMs = this.#isBehind() ? 0 : getPace().waitMs;
+    const waitMs = this.#hasLastReadFailed() ? 0 : getPace().waitMs;
     return store.read({ partition, from: base, waitMs, onData, signal });
   }
 
-  #handleAbandoned({ receivedBytes }: ReadWatch, sentAtMs: number): number {
+  #handleAbandoned({ receivedBytes }: ReadWatchdog, sentAtMs: number): number {
     const { clock, partition, observe } = this.#options;
-    this.#patienceMs = Math.min(MAX_PATIENCE_MS, 2 * this.#patienceMs);
+    this.#stallTimeoutMs = Math.min(
+      MAX_STALL_TIMEOUT_MS,
+      2 * this.#stallTimeoutMs,
+    );
     const afterMs = clock.readMs() - sentAtMs;
     observe({ kind: "read-abandoned", partition, afterMs, receivedBytes });
     return 0;
@@ -314,7 +319,8 @@
   }
 
   #handleFailure(failure: StoreFailure): number {
-    const { clock, partition, observe, getPace } = this.#options;
+    const { clock, partition, observe, getPollingPolicy: getPace } =
+      this.#options;
     if (failure.kind === "expired") {
       observe({ kind: "history-lost", partition });
       this.#end = -1;
@@ -325,14 +331,14 @@
       const message = "message" in failure ? failure.message : failure.kind;
       observe({ kind: "lost", partition, cause: failure.kind, message });
     }
-    this.#pauseMs = Math.min(getPace().maxPauseMs, 2 * this.#pauseMs);
-    return this.#pauseMs;
+    this.#backoffMs = Math.min(getPace().maxBackoffMs, 2 * this.#backoffMs);
+    return this.#backoffMs;
   }
 
-  #recordContact(sentAtMs: number): void {
+  #recordStoreResponse(sentAtMs: number): void {
     const { clock, partition, observe } = this.#options;
     this.#confirmedAtMs = Math.max(this.#confirmedAtMs, sentAtMs);
-    this.#pauseMs = MIN_PAUSE_MS;
+    this.#backoffMs = MIN_BACKOFF_MS;
     if (this.#lostAtMs !== null) {
       const nowMs = clock.readMs();
       const afterMs = nowMs - this.#lostAtMs;
@@ -343,15 +349,15 @@
   }
 
   /** What is not among the newest records has gone while nobody looked. */
-  #mergeWhole(records: readonly StoreRecord[]): void {
+  #mergeSnapshot(records: readonly StoreRecord[]): void {
     const present = new Set(records.map((record) => record.key));
-    for (const known of [...this.#newest.values()]) {
+    for (const known of [...this.#newestRecords.values()]) {
       if (!present.has(known.key)) {
         this.#applyRecord({ ...known, value: "" });
       }
     }
     for (const record of records) {
-      const known = this.#newest.get(record.key);
+      const known = this.#newestRecords.get(record.key);
       if (known === undefined || known.offset < record.offset) {
         this.#applyRecord(record);
       }
@@ -360,9 +366,9 @@
 
   #applyRecord(record: StoreRecord): void {
     if (record.value === "") {
-      this.#newest.delete(record.key);
+      this.#newestRecords.delete(record.key);
     } else {
-      this.#newest.set(record.key, record);
+      this.#newestRecords.set(record.key, record);
     }
     this.#options.apply(record);
   }
--- a/packages/gateway/src/views/partition_tail_test.ts
+++ b/packages/gateway/src/views/partition_view_test.ts
@@ -3,7 +3,7 @@
 import { FakeStore } from "@lentilspur/ports/fake_store";
 import type { Store, StoreRecord } from "@lentilspur/ports/store";
 import { VirtualClock } from "@lentilspur/ports/virtual_clock";
-import { PartitionTail, type TailEvent } from "./partition_tail.ts";
+import { PartitionView, type PartitionViewEvent } from "./partition_view.ts";
 
 const PARTITION = { topic: "targets", part: 0 };
 /** A link of 7 Mbit/s. */
@@ -15,18 +15,18 @@
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const applied: StoreRecord[] = [];
-  const events: TailEvent[] = [];
+  const events: PartitionViewEvent[] = [];
   const pace = { validMs: 0, maxPauseMs: 400 };
   store.write(PARTITION, "a", "1");
-  const tail = new PartitionTail({
+  const tail = new PartitionView({
     clock,
     store: changeClient(store.createClient("me")),
     partition: PARTITION,
-    getPace: () => ({
-      gapMs: 100,
+    getPollingPolicy: () => ({
+      pollDelayMs: 100,
       waitMs: 2_000,
-      validMs: pace.validMs,
-      maxPauseMs: 400,
+      peerDataTtlMs: pace.validMs,
+      maxBackoffMs: 400,
     }),
     apply: (record) => applied.push(record),
     observe: (event) => events.push(event),
--- a/packages/gateway/src/views/read_watch.ts
+++ b/packages/gateway/src/views/read_watchdog.ts
@@ -14,21 +14,21 @@
 
 type Read = Result<StoreReadResult, StoreFailure>;
 
-export class ReadWatch {
+export class ReadWatchdog {
   readonly #clock: Clock;
   /** How long a read may stand still once there is news. */
-  readonly #patienceMs: number;
+  readonly #stallTimeoutMs: number;
   readonly #ended = new AbortController();
   readonly #abandoned: Promise<undefined>;
   #cancel: () => void = () => undefined;
-  #hasNews = false;
-  #heardAtMs: number;
+  #hasPendingChange = false;
+  #lastDataAtMs: number;
   #receivedBytes = 0;
 
   constructor(clock: Clock, patienceMs: number) {
     this.#clock = clock;
-    this.#patienceMs = patienceMs;
-    this.#heardAtMs = clock.readMs();
+    this.#stallTimeoutMs = patienceMs;
+    this.#lastDataAtMs = clock.readMs();
     this.#abandoned = new Promise((resolve) => {
       this.#cancel = () => resolve(undefined);
     });
@@ -47,14 +47,14 @@
   /** A part of the answer has come in. */
   recordData(bytes: number): void {
     this.#receivedBytes += bytes;
-    this.#heardAtMs = this.#clock.readMs();
+    this.#lastDataAtMs = this.#clock.readMs();
   }
 
   /** There is something newer than what is known here. */
-  recordNews(): void {
-    if (!this.#hasNews) {
-      this.#hasNews = true;
-      void this.#watchStandstill();
+  recordPendingChange(): void {
+    if (!this.#hasPendingChange) {
+      this.#hasPendingChange = true;
+      void this.#watchForStall();
     }
   }
 
@@ -65,11 +65,11 @@
     return read;
   }
 
-  async #watchStandstill(): Promise<void> {
+  async #watchForStall(): Promise<void> {
     const newsAtMs = this.#clock.readMs();
     while (!this.signal.aborted) {
-      const sinceMs = Math.max(newsAtMs, this.#heardAtMs);
-      const leftMs = sinceMs + this.#patienceMs - this.#clock.readMs();
+      const sinceMs = Math.max(newsAtMs, this.#lastDataAtMs);
+      const leftMs = sinceMs + this.#stallTimeoutMs - this.#clock.readMs();
       if (leftMs <= 0) {
         this.#cancel();
         return;
--- a/packages/gateway/src/views/store_views.ts
+++ b/packages/gateway/src/views/store_views.ts
@@ -6,23 +6,23 @@
   TABLE_PREFIX,
   WITNESSES_KEY,
 } from "@lentilspur/ownership/keeper_records";
-import { type Catalogue, RETURN_GRACE_MS } from "./catalogue.ts";
+import { type Catalogue, EXPIRED_ENTRY_GRACE_MS } from "./catalogue.ts";
 import type { StoreLayout } from "../gateway_settings.ts";
 import type { KeyDirectory } from "./key_directory.ts";
 import type { Duties } from "../members/duties.ts";
 import type { Members } from "../members/members.ts";
 import {
-  PartitionTail,
-  type PartitionTailOptions,
-  type TailEvent,
-  type TailPace,
-  type TailSlice,
-} from "./partition_tail.ts";
+  PartitionView,
+  type PartitionViewEvent,
+  type PartitionViewOptions,
+  type PollingPolicy,
+  type RecordBatch,
+} from "./partition_view.ts";
 
 export interface StoreViewsOptions {
   readonly clock: Clock;
   readonly store: Store;
-  readonly places: StoreLayout;
+  readonly storeLayout: StoreLayout;
   readonly catalogue: Catalogue;
   readonly directory: KeyDirectory;
   readonly members: Members;
@@ -30,11 +30,11 @@
   readonly onConfiguration: () => void;
   /** Whether this instance keeps a partition of owners, or is about to. */
   readonly isKeeper: (part: number) => boolean;
-  readonly onTargetsRead: (slice: TailSlice) => void;
-  readonly onConfigurationRead: (slice: TailSlice) => void;
+  readonly onTargetsRead: (slice: RecordBatch) => void;
+  readonly onConfigurationRead: (slice: RecordBatch) => void;
   /** Tables up to `end` were missed, which the keeper has. */
   readonly fetchTable: (part: number, keeper: string, end: number) => void;
-  readonly observe: (event: TailEvent) => void;
+  readonly observe: (event: PartitionViewEvent) => void;
   readonly reportFault: (message: string) => void;
 }
 
@@ -101,25 +101,25 @@
 
 export class StoreViews {
   readonly #options: StoreViewsOptions;
-  readonly #configuration: PartitionTail;
-  readonly #targets: PartitionTail;
-  readonly #members: PartitionTail;
-  readonly #owners = new Map<number, PartitionTail>();
+  readonly #configuration: PartitionView;
+  readonly #targets: PartitionView;
+  readonly #members: PartitionView;
+  readonly #owners = new Map<number, PartitionView>();
   readonly #signal: AbortSignal;
 
   constructor(options: StoreViewsOptions, signal: AbortSignal) {
     this.#options = options;
     this.#signal = signal;
-    const { configuration, targets, members } = options.places;
-    this.#configuration = this.#createTail(
+    const { configuration, targets, members } = options.storeLayout;
+    this.#configuration = this.#createView(
       configuration,
       () => ({
-        gapMs: CONFIGURATION_GAP_MS,
+        pollDelayMs: CONFIGURATION_GAP_MS,
         waitMs: this.#computeConfigurationWaitMs(),
-        validMs: this.#options.duties.isCandidate()
+        peerDataTtlMs: this.#options.duties.isCandidate()
           ? 0
           : CONFIGURATION_VALID_MS,
-        maxPauseMs: this.#options.duties.isCandidate()
+        maxBackoffMs: this.#options.duties.isCandidate()
           ? URGENT_PAUSE_MS
           : OTHER_PAUSE_MS,
       }),
@@ -129,19 +129,19 @@
         onRead: (slice) => this.#options.onConfigurationRead(slice),
       },
     );
-    this.#targets = this.#createTail(
+    this.#targets = this.#createView(
       targets,
-      () => this.#getTargetsPace(),
+      () => this.#getTargetsPolicy(),
       (key, value) => this.#applyTarget(key, value),
       { onRead: (slice) => this.#options.onTargetsRead(slice) },
     );
-    this.#members = this.#createTail(
+    this.#members = this.#createView(
       members,
       () => ({
-        gapMs: MEMBERS_GAP_MS,
+        pollDelayMs: MEMBERS_GAP_MS,
         waitMs: 0,
-        validMs: MEMBERS_VALID_MS,
-        maxPauseMs: OTHER_PAUSE_MS,
+        peerDataTtlMs: MEMBERS_VALID_MS,
+        maxBackoffMs: OTHER_PAUSE_MS,
       }),
       (key, value, offset) => this.#applyMember(key, value, offset),
     );
@@ -159,17 +159,17 @@
       this.#targets.isLoaded;
   }
 
-  get targetsTail(): PartitionTail {
+  get targetsView(): PartitionView {
     return this.#targets;
   }
 
-  get configurationTail(): PartitionTail {
+  get configurationView(): PartitionView {
     return this.#configuration;
   }
 
   /** Whether the store does not answer what everybody is to know. */
   get hasLostStore(): boolean {
-    return this.#configuration.isLost || this.#targets.isLost;
+    return this.#configuration.hasLostStore || this.#targets.hasLostStore;
   }
 
   /** Up to where the configuration and what stands beside it has been read. */
@@ -187,13 +187,13 @@
       const read = () => this.#configuration.scheduleRead();
       void this.#readIfMissing(this.#configuration, end, read);
     } else if (end === known && isNewest) {
-      this.#configuration.recordTold(this.#options.clock.readMs());
+      this.#configuration.recordPeerConfirmation(this.#options.clock.readMs());
     }
   }
 
   /** What has been passed on may be on its way still. */
   async #readIfMissing(
-    tail: PartitionTail,
+    tail: PartitionView,
     end: number,
     read: () => void,
   ): Promise<void> {
@@ -204,7 +204,7 @@
   }
 
   /** An instance is heard of that no record here names. */
-  readMembers(): void {
+  scheduleMembersRead(): void {
     this.#members.scheduleRead();
   }
 
@@ -215,7 +215,7 @@
       return;
     }
     if (end <= tail.end) {
-      tail.recordTold(this.#options.clock.readMs());
+      tail.recordPeerConfirmation(this.#options.clock.readMs());
       return;
     }
     const fetch = () => this.#options.fetchTable(part, keeper, end);
@@ -223,27 +223,27 @@
   }
 
   /** A request did not find its owner where the table says. */
-  checkOwners(part: number): void {
+  handleOwnerMiss(part: number): void {
     const tail = this.#owners.get(part);
-    const currentAtMs = tail?.currentAtMs ?? -Infinity;
+    const currentAtMs = tail?.currentAsOfMs ?? -Infinity;
     if (this.#options.clock.readMs() - currentAtMs > OWNERS_CURRENT_MS) {
       tail?.scheduleRead();
     }
   }
 
-  getOwnersTail(part: number): PartitionTail | undefined {
+  getOwnersView(part: number): PartitionView | undefined {
     return this.#owners.get(part);
   }
 
   /** Follows a partition of the table of owners from now on. */
-  openOwners(part: number): void {
+  startOwnersView(part: number): void {
     if (this.#owners.has(part)) {
       return;
     }
-    const { topic } = this.#options.places.owners;
-    const tail = this.#createTail(
+    const { topic } = this.#options.storeLayout.owners;
+    const tail = this.#createView(
       { topic, part },
-      () => this.#getOwnersPace(part),
+      () => this.#getOwnersPolicy(part),
       (key, value, offset) => this.#applyOwners(key, value, offset),
     );
     this.#owners.set(part, tail);
@@ -256,7 +256,7 @@
     return CONFIGURATION_WAIT_MS * (1 + before);
   }
 
-  #getTargetsPace(): TailPace {
+  #getTargetsPolicy(): PollingPolicy {
     const { duties } = this.#options;
     const isReader = duties.isReader();
     const validMs = isReader
@@ -265,42 +265,42 @@
       ? LOCAL_READER_VALID_MS
       : TARGETS_VALID_MS;
     return {
-      gapMs: TARGETS_GAP_MS,
+      pollDelayMs: TARGETS_GAP_MS,
       waitMs: 0,
-      validMs,
-      maxPauseMs: isReader ? URGENT_PAUSE_MS : OTHER_PAUSE_MS,
+      peerDataTtlMs: validMs,
+      maxBackoffMs: isReader ? URGENT_PAUSE_MS : OTHER_PAUSE_MS,
     };
   }
 
-  #getOwnersPace(part: number): TailPace {
+  #getOwnersPolicy(part: number): PollingPolicy {
     return this.#options.isKeeper(part)
       ? {
-        gapMs: KEEPER_GAP_MS,
+        pollDelayMs: KEEPER_GAP_MS,
         waitMs: 0,
-        validMs: KEEPER_VALID_MS,
-        maxPauseMs: URGENT_PAUSE_MS,
+        peerDataTtlMs: KEEPER_VALID_MS,
+        maxBackoffMs: URGENT_PAUSE_MS,
       }
       : {
-        gapMs: OWNERS_GAP_MS,
+        pollDelayMs: OWNERS_GAP_MS,
         waitMs: 0,
-        validMs: OWNERS_VALID_MS,
-        maxPauseMs: OTHER_PAUSE_MS,
+        peerDataTtlMs: OWNERS_VALID_MS,
+        maxBackoffMs: OTHER_PAUSE_MS,
       };
   }
 
-  #createTail(
+  #createView(
     partition: Partition,
-    getPace: () => TailPace,
+    getPace: () => PollingPolicy,
     apply: (key: string, value: string, offset: number) => void,
-    more: Pick<PartitionTailOptions, "isNewestOnly" | "onRead"> = {},
-  ): PartitionTail {
+    more: Pick<PartitionViewOptions, "isNewestOnly" | "onRead"> = {},
+  ): PartitionView {
     const { clock, store, observe } = this.#options;
     const { topic, part } = partition;
-    return new PartitionTail({
+    return new PartitionView({
       clock,
       store,
       partition: { topic, part },
-      getPace,
+      getPollingPolicy: getPace,
       apply: ({ key, value, offset }) => apply(key, value, offset),
       observe,
       ...more,
@@ -308,7 +308,7 @@
   }
 
   #applyOperatorRecord(key: string, value: string): void {
-    const { places, catalogue, onConfiguration } = this.#options;
+    const { storeLayout: places, catalogue, onConfiguration } = this.#options;
     const { key: configurationKey, evacuationPrefix } = places.configuration;
     if (key.startsWith(evacuationPrefix)) {
       this.#applyEvacuation(key.slice(evacuationPrefix.length), value !== "");
@@ -338,7 +338,9 @@
     const sinceOutageMs = nowMs - this.#targets.regainedAtMs;
     const graceMs = Math.max(
       0,
-      sinceOutageMs < OUTAGE_MEMORY_MS ? RETURN_GRACE_MS - sinceOutageMs : 0,
+      sinceOutageMs < OUTAGE_MEMORY_MS
+        ? EXPIRED_ENTRY_GRACE_MS - sinceOutageMs
+        : 0,
     );
     catalogue.applyTarget(id, value, { nowMs, graceMs });
   }
--- a/packages/gateway/src/views/store_views_test.ts
+++ b/packages/gateway/src/views/store_views_test.ts
@@ -112,7 +112,7 @@
         ...client,
         read: (request) => this.#read(client, request),
       },
-      places: PLACES,
+      storeLayout: PLACES,
       catalogue: this.#catalogue,
       directory: new KeyDirectory(),
       members: this.#members,
@@ -121,7 +121,7 @@
       isKeeper: () => false,
       onTargetsRead: () => undefined,
       onConfigurationRead: () => undefined,
-      fetchTable: (part) => this.views.getOwnersTail(part)?.scheduleRead(),
+      fetchTable: (part) => this.views.getOwnersView(part)?.scheduleRead(),
       observe: () => undefined,
       reportFault,
     }, new AbortController().signal);
@@ -129,7 +129,7 @@
       this.store.write(PLACES.members, one.instance, serializeMember(one));
     }
     this.views.start();
-    this.views.openOwners(OWNERS_PART);
+    this.views.startOwnersView(OWNERS_PART);
   }
 
   get inForce(): number {
@@ -150,7 +150,7 @@
     const records = this.store.listRecords(PLACES.configuration)
       .filter(({ offset }) => offset === base);
     void this.clock.sleep(ON_ITS_WAY_MS).then(() =>
-      this.views.configurationTail.applySlice({
+      this.views.configurationView.applyBatch({
         base,
         end: base + 1,
         ageMs: 0,
@@ -309,12 +309,12 @@
   await reader.advance(2_000, { ownersEnd: 0 });
   reader.reads.length = 0;
   for (let step = 0; step < 10; step++) {
-    reader.views.checkOwners(OWNERS_PART);
+    reader.views.handleOwnerMiss(OWNERS_PART);
     await reader.advance(500, { ownersEnd: 0 });
   }
   assert.equal(reader.countReads("owners"), 0);
   await reader.clock.advance(1_000);
-  reader.views.checkOwners(OWNERS_PART);
+  reader.views.handleOwnerMiss(OWNERS_PART);
   await reader.clock.advance(500);
   assert.equal(reader.countReads("owners"), 1);
 });
@@ -326,7 +326,7 @@
   reader.store.write(partition, "keeper", "{}");
   reader.reads.length = 0;
   await reader.advance(500, { ownersEnd: 1 });
-  assert.equal(reader.views.getOwnersTail(OWNERS_PART)?.end, 1);
+  assert.equal(reader.views.getOwnersView(OWNERS_PART)?.end, 1);
   assert.equal(reader.countReads("owners"), 1);
 });
 
--- a/packages/gateway/src/views/table_requests.ts
+++ b/packages/gateway/src/views/table_requests.ts
@@ -13,11 +13,11 @@
 import {
   decodeValue,
   encodeValue,
-  PieceJoiner,
-} from "../peers/datagram_pieces.ts";
+  FragmentAssembler,
+} from "../peers/datagram_fragments.ts";
 import type { KeyDirectory } from "./key_directory.ts";
 import type { Member } from "../members/members.ts";
-import type { PartitionTail } from "./partition_tail.ts";
+import type { PartitionView } from "./partition_view.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 
 type TableRequest = PeerMessage & { readonly kind: "table-request" };
@@ -28,7 +28,7 @@
   readonly instance: string;
   readonly directory: KeyDirectory;
   readonly findMember: (instance: string) => Member | undefined;
-  readonly getOwnersTail: (part: number) => PartitionTail | undefined;
+  readonly getOwnersView: (part: number) => PartitionView | undefined;
   /** Up to where the tables of a partition that is kept here go. */
   readonly getTableEnd: (part: number) => number | undefined;
   /** Services whose tables stand in a partition. */
@@ -37,18 +37,18 @@
 }
 
 /** What an answer holds. */
-interface Told {
+interface TableResponse {
   readonly table: string;
   /** The keeper's claim: it may have been missed as well. */
   readonly records: readonly StoreRecord[];
 }
 
 /** An answer takes 3 to 40 ms; without one the store is asked. */
-const ANSWER_MS = 250;
+const RESPONSE_TIMEOUT_MS = 250;
 
 export class TableRequests {
   readonly #options: TableRequestsOptions;
-  readonly #joiner = new PieceJoiner();
+  readonly #joiner = new FragmentAssembler();
   /** Partitions that were asked for and have not been answered. */
   readonly #asked = new Set<number>();
 
@@ -58,7 +58,8 @@
 
   /** Something up to `end` was missed: the keeper is asked, then the store. */
   async fetch(part: number, keeper: string, end: number): Promise<void> {
-    const { clock, instance, findMember, getOwnersTail, send } = this.#options;
+    const { clock, instance, findMember, getOwnersView: getOwnersTail, send } =
+      this.#options;
     const member = findMember(keeper);
     if (this.#asked.has(part)) {
       return;
@@ -66,7 +67,7 @@
     if (member !== undefined) {
       this.#asked.add(part);
       send([member], { kind: "table-request", from: instance, part });
-      await clock.sleep(ANSWER_MS);
+      await clock.sleep(RESPONSE_TIMEOUT_MS);
       this.#asked.delete(part);
     }
     const tail = getOwnersTail(part);
@@ -89,19 +90,21 @@
   }
 
   apply({ from, part, service, offset, ...piece }: TableMessage): void {
-    const { clock, directory, getOwnersTail } = this.#options;
+    const { clock, directory, getOwnersView: getOwnersTail } = this.#options;
     const tail = getOwnersTail(part);
     if (tail === undefined || offset < tail.end || !tail.isLoaded) {
       return;
     }
     const packed = this.#joiner.add(`${part} ${from}`, offset, piece);
-    const told = packed === undefined ? undefined : toTold(decodeValue(packed));
+    const told = packed === undefined
+      ? undefined
+      : toTableResponse(decodeValue(packed));
     const parsed = told && parseTable(told.table);
     if (told === undefined || parsed?.ok !== true) {
       return;
     }
     directory.setTable(service, parsed.val, { offset, nowMs: clock.readMs() });
-    tail.applySlice({
+    tail.applyBatch({
       base: tail.end,
       end: offset + 1,
       ageMs: 0,
@@ -117,21 +120,25 @@
       "part" | "service" | "offset"
     >,
   ): void {
-    const { instance: from, directory, getOwnersTail, send } = this.#options;
+    const { instance: from, directory, getOwnersView: getOwnersTail, send } =
+      this.#options;
     const table = directory.getTable(service);
     const claim = getOwnersTail(part)?.getRecord(KEEPER_KEY);
     if (table === undefined || claim === undefined) {
       return;
     }
-    const told: Told = { table: serializeTable(table), records: [claim] };
+    const told: TableResponse = {
+      table: serializeTable(table),
+      records: [claim],
+    };
     for (const piece of encodeValue(told) ?? []) {
       send([to], { kind: "table", from, part, service, offset, ...piece });
     }
   }
 }
 
-function toTold(value: unknown): Told | undefined {
-  const { table, records } = (value ?? {}) as Partial<Told>;
+function toTableResponse(value: unknown): TableResponse | undefined {
+  const { table, records } = (value ?? {}) as Partial<TableResponse>;
   return typeof table === "string" && Array.isArray(records)
     ? { table, records }
     : undefined;
--- a/packages/gateway/src/views/table_requests_test.ts
+++ b/packages/gateway/src/views/table_requests_test.ts
@@ -9,7 +9,7 @@
 import { VirtualClock } from "@lentilspur/ports/virtual_clock";
 import { KeyDirectory } from "./key_directory.ts";
 import { createMember } from "../members/member_fixtures.ts";
-import { PartitionTail } from "./partition_tail.ts";
+import { PartitionView } from "./partition_view.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 import { TableRequests } from "./table_requests.ts";
 
@@ -21,7 +21,7 @@
 class TableWorld {
   readonly clock = new VirtualClock();
   readonly store = new FakeStore(this.clock);
-  readonly tails = new Map<string, PartitionTail>();
+  readonly tails = new Map<string, PartitionView>();
   readonly directories = new Map<string, KeyDirectory>();
   readonly requests = new Map<string, TableRequests>();
   isKeeperHeard = true;
@@ -32,15 +32,15 @@
 
   #start(name: string): void {
     const directory = new KeyDirectory();
-    const tail = new PartitionTail({
+    const tail = new PartitionView({
       clock: this.clock,
       store: this.store.createClient(name),
       partition: PARTITION,
-      getPace: () => ({
-        gapMs: 50,
+      getPollingPolicy: () => ({
+        pollDelayMs: 50,
         waitMs: 0,
-        validMs: name === "keeper" ? 0 : 60_000,
-        maxPauseMs: 400,
+        peerDataTtlMs: name === "keeper" ? 0 : 60_000,
+        maxBackoffMs: 400,
       }),
       apply: ({ key, value, offset }) => {
         if (key === TABLE_KEY) {
@@ -59,7 +59,7 @@
         instance: name,
         directory,
         findMember: (other) => createMember(other),
-        getOwnersTail: () => tail,
+        getOwnersView: () => tail,
         getTableEnd: () => name === "keeper" ? tail.end : undefined,
         listServices: () => ["files"],
         send: ([to], message) => this.#transfer(to!.instance, message),
--- a/packages/gateway/src/views/target_sightings.ts
+++ b/packages/gateway/src/views/target_first_seen_times.ts
@@ -1,7 +1,7 @@
 /** When each life of a target was seen here first. */
 import type { TargetIncarnation } from "@lentilspur/routing/target_incarnation";
 
-interface Sighting {
+interface FirstSeen {
   readonly bornMs: number | undefined;
   readonly atMs: number;
 }
@@ -9,34 +9,34 @@
 /** Ids that are remembered: some days of a fleet with 4,600 restarts a day. */
 const MAX_REMEMBERED = 20_000;
 
-export class TargetSightings {
+export class TargetFirstSeenTimes {
   /** The newest life of each id. */
-  readonly #sightings = new Map<string, Sighting>();
+  readonly #firstSeen = new Map<string, FirstSeen>();
 
   /** When the newest life of an id began, as it says. */
   getBornMs(id: string): number | undefined {
-    return this.#sightings.get(id)?.bornMs;
+    return this.#firstSeen.get(id)?.bornMs;
   }
 
   /** When the newest life of an id was seen first; own clock. */
-  getNewestMs(id: string): number {
-    return this.#sightings.get(id)?.atMs ?? -Infinity;
+  getNewestFirstSeenMs(id: string): number {
+    return this.#firstSeen.get(id)?.atMs ?? -Infinity;
   }
 
   /** When this life was seen first, if it is the newest of its id; own clock. */
-  findLifeMs({ id, bornMs }: TargetIncarnation): number | undefined {
-    const seen = this.#sightings.get(id);
+  findFirstSeenMs({ id, bornMs }: TargetIncarnation): number | undefined {
+    const seen = this.#firstSeen.get(id);
     return seen !== undefined && seen.bornMs === bornMs ? seen.atMs : undefined;
   }
 
   record({ id, bornMs }: TargetIncarnation, atMs: number): void {
-    const seen = this.#sightings.get(id);
+    const seen = this.#firstSeen.get(id);
     if (seen === undefined || seen.bornMs !== bornMs) {
-      this.#sightings.delete(id);
-      this.#sightings.set(id, { bornMs, atMs });
+      this.#firstSeen.delete(id);
+      this.#firstSeen.set(id, { bornMs, atMs });
     }
-    if (this.#sightings.size > MAX_REMEMBERED) {
-      this.#sightings.delete(this.#sightings.keys().next().value!);
+    if (this.#firstSeen.size > MAX_REMEMBERED) {
+      this.#firstSeen.delete(this.#firstSeen.keys().next().value!);
     }
   }
 }
--- a/packages/gateway/src/views/view_relay.ts
+++ b/packages/gateway/src/views/view_relay.ts
@@ -22,14 +22,14 @@
 import {
   decodeValue,
   encodeValue,
-  MAX_PIECE,
-  type Piece,
-  PieceJoiner,
-} from "../peers/datagram_pieces.ts";
+  type Fragment,
+  FragmentAssembler,
+  MAX_FRAGMENT_LENGTH,
+} from "../peers/datagram_fragments.ts";
 import type { Duties } from "../members/duties.ts";
 import type { KeyDirectory } from "./key_directory.ts";
 import type { Member } from "../members/members.ts";
-import type { PartitionTail, TailSlice } from "./partition_tail.ts";
+import type { PartitionView, RecordBatch } from "./partition_view.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 
 type TargetsMessage = PeerMessage & { readonly kind: "targets" };
@@ -42,9 +42,9 @@
   readonly directory: KeyDirectory;
   readonly duties: Duties;
   readonly findMember: (instance: string) => Member | undefined;
-  readonly getTargetsTail: () => PartitionTail;
-  readonly getConfigurationTail: () => PartitionTail;
-  readonly getOwnersTail: (part: number) => PartitionTail | undefined;
+  readonly getTargetsView: () => PartitionView;
+  readonly getConfigurationView: () => PartitionView;
+  readonly getOwnersView: (part: number) => PartitionView | undefined;
   /** False where the message is too long for a datagram; nothing is sent then. */
   /** Tables up to `end` were missed, which the keeper has. */
   readonly fetchTable: (part: number, keeper: string, end: number) => void;
@@ -63,7 +63,7 @@
 
 export class ViewRelay {
   readonly #options: ViewRelayOptions;
-  readonly #joiner = new PieceJoiner();
+  readonly #joiner = new FragmentAssembler();
   /** As a keeper: where each partition ended after its newest claim or table. */
   readonly #tableEnds = new Map<number, number>();
 
@@ -73,7 +73,7 @@
 
   /** Passes on what a read of the targets' entries gave. */
   sendTargets(
-    slice: TailSlice,
+    slice: RecordBatch,
     isNews: (record: StoreRecord) => boolean,
   ): void {
     const { duties, instance: from } = this.#options;
@@ -88,7 +88,7 @@
     // All records of an entry that has any news: an entry may go and come back.
     const news = new Set(slice.records.filter(isNews).map(({ key }) => key));
     const records = slice.records.filter(({ key }) => news.has(key));
-    for (const part of splitSlice({ ...slice, records })) {
+    for (const part of splitBatch({ ...slice, records })) {
       const message: TargetsMessage = { kind: "targets", from, ...part };
       if (!this.#options.send(receivers, message)) {
         // Too much for a datagram: without a base, the others read themselves.
@@ -100,11 +100,11 @@
 
   applyTargets(message: TargetsMessage): void {
     this.#forward(message);
-    this.#options.getTargetsTail().applySlice(message);
+    this.#options.getTargetsView().applyBatch(message);
   }
 
   /** Passes on a change of the configuration, where it fits into datagrams. */
-  sendConfiguration({ base, end, records }: TailSlice): void {
+  sendConfiguration({ base, end, records }: RecordBatch): void {
     const { duties, instance: from } = this.#options;
     if (records.length === 0 || !duties.isReader()) {
       return;
@@ -116,7 +116,7 @@
 
   applyConfiguration(message: ConfigurationMessage): void {
     this.#forward(message);
-    const tail = this.#options.getConfigurationTail();
+    const tail = this.#options.getConfigurationView();
     const { from, end } = message;
     if (end <= tail.end) {
       return;
@@ -124,9 +124,9 @@
     const packed = this.#joiner.add(`configuration of ${from}`, end, message);
     const slice = packed === undefined
       ? undefined
-      : toRecords(decodeValue(packed));
+      : toBatch(decodeValue(packed));
     if (slice !== undefined) {
-      tail.applySlice({ ...slice, end, ageMs: 0, sinceOutageMs: null });
+      tail.applyBatch({ ...slice, end, ageMs: 0, sinceOutageMs: null });
     }
   }
 
@@ -138,7 +138,7 @@
     const pieces = before === undefined
       ? undefined
       : encodeValue(diffTables(before, after));
-    for (const piece of pieces ?? [UNTOLD]) {
+    for (const piece of pieces ?? [EMPTY_FRAGMENT]) {
       this.#sendOwners({ part, offset, since, service, ...piece });
     }
   }
@@ -164,7 +164,13 @@
   /** Tells every instance that this one keeps a partition from now on. */
   sendClaim(part: number, offset: number): void {
     this.#tableEnds.set(part, offset + 1);
-    this.#sendOwners({ part, offset, since: offset, service: "", ...UNTOLD });
+    this.#sendOwners({
+      part,
+      offset,
+      since: offset,
+      service: "",
+      ...EMPTY_FRAGMENT,
+    });
   }
 
   /**
@@ -172,7 +178,7 @@
    * that nobody was told of. Taken over onto the one before it, the difference
    * of the next would leave keys with wrong owners for good.
    */
-  recordResolved(part: number, end: number): void {
+  recordTableEnd(part: number, end: number): void {
     this.#tableEnds.set(part, end);
   }
 
@@ -207,7 +213,7 @@
   /** Word of a claim alone says nothing of tables. */
   #handleMissed(
     { from, part, service, offset }: OwnersMessage,
-    tail: PartitionTail,
+    tail: PartitionView,
   ): void {
     if (service === "") {
       tail.scheduleRead();
@@ -218,7 +224,7 @@
 
   applyTable(message: OwnersMessage): void {
     this.#forward(message);
-    const { directory, getOwnersTail } = this.#options;
+    const { directory, getOwnersView: getOwnersTail } = this.#options;
     const { part, service, offset, since } = message;
     const tail = getOwnersTail(part);
     if (tail === undefined || offset < tail.end) {
@@ -239,7 +245,7 @@
       offset,
       nowMs: this.#options.clock.readMs(),
     });
-    tail.applySlice({
+    tail.applyBatch({
       base: since,
       end: offset + 1,
       ageMs: 0,
@@ -249,31 +255,31 @@
   }
 }
 
-function toRecords(
+function toBatch(
   value: unknown,
-): Pick<TailSlice, "base" | "records"> | undefined {
-  const { base, records } = (value ?? {}) as Partial<TailSlice>;
+): Pick<RecordBatch, "base" | "records"> | undefined {
+  const { base, records } = (value ?? {}) as Partial<RecordBatch>;
   return Number.isInteger(base) && Array.isArray(records)
     ? { base: base!, records }
     : undefined;
 }
 
 /** Stands for what is to be read instead. */
-const UNTOLD: Piece = { text: "", piece: 0, pieces: 1 };
+const EMPTY_FRAGMENT: Fragment = { text: "", piece: 0, pieces: 1 };
 
 /**
  * What was read, in pieces that fit into a datagram each; the next goes on where
  * the one before ends. A third of 180 targets leaving at once takes 20 of them,
  * where 200 instances that are told to read would all do so at that moment.
  */
-function splitSlice(slice: TailSlice): readonly TailSlice[] {
-  const pieces: TailSlice[] = [];
+function splitBatch(slice: RecordBatch): readonly RecordBatch[] {
+  const pieces: RecordBatch[] = [];
   let { base } = slice;
   let records: StoreRecord[] = [];
   let size = 0;
   for (const record of slice.records) {
     const added = JSON.stringify(record).length;
-    if (records.length > 0 && size + added > MAX_PIECE) {
+    if (records.length > 0 && size + added > MAX_FRAGMENT_LENGTH) {
       const end = record.offset;
       pieces.push({ ...slice, base, end, records });
       base = end;
--- a/packages/gateway/src/views/table_relay_test.ts
+++ b/packages/gateway/src/views/view_relay_tables_test.ts
@@ -17,7 +17,7 @@
 import { Duties } from "../members/duties.ts";
 import { KeyDirectory } from "./key_directory.ts";
 import { createMember, createMembers } from "../members/member_fixtures.ts";
-import { PartitionTail } from "./partition_tail.ts";
+import { PartitionView } from "./partition_view.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 import { ViewRelay } from "./view_relay.ts";
 
@@ -25,7 +25,7 @@
 function createRelay({ clock, directory, getTail, send }: {
   readonly clock: VirtualClock;
   readonly directory: KeyDirectory;
-  readonly getTail: () => PartitionTail | undefined;
+  readonly getTail: () => PartitionView | undefined;
   readonly send: (message: PeerMessage) => boolean;
 }): ViewRelay {
   const self = createMember("one", { cores: 2 });
@@ -37,10 +37,10 @@
     directory,
     duties: new Duties({ clock, self, members, hasLostStore: () => false }),
     findMember: (name) => members.get(name),
-    getTargetsTail: () => getTail()!,
-    getConfigurationTail: () => getTail()!,
+    getTargetsView: () => getTail()!,
+    getConfigurationView: () => getTail()!,
     fetchTable: () => getTail()!.scheduleRead(),
-    getOwnersTail: getTail,
+    getOwnersView: getTail,
     // To nobody nothing is sent.
     send: (to, message) => to.length === 0 || send(message),
   });
@@ -52,16 +52,16 @@
   readonly store: FakeStore;
   readonly partition: Partition;
   readonly apply: (record: StoreRecord) => void;
-}): PartitionTail {
-  return new PartitionTail({
+}): PartitionView {
+  return new PartitionView({
     clock,
     store: store.createClient("two"),
     partition,
-    getPace: () => ({
-      gapMs: 100,
+    getPollingPolicy: () => ({
+      pollDelayMs: 100,
       waitMs: 0,
-      validMs: 60_000,
-      maxPauseMs: 400,
+      peerDataTtlMs: 60_000,
+      maxBackoffMs: 400,
     }),
     apply,
     observe: () => undefined,
@@ -84,7 +84,7 @@
   const directory = new KeyDirectory();
   const sent: PeerMessage[] = [];
   const partition = { topic: "owners", part: 3 };
-  const tails: PartitionTail[] = [];
+  const tails: PartitionView[] = [];
   const relay = createRelay({
     clock,
     directory,
@@ -203,7 +203,7 @@
   assert.equal(reads, 0);
 
   // A table at 4 was written whose answer was lost: nobody was told of it.
-  relay.recordResolved(3, 5);
+  relay.recordTableEnd(3, 5);
   relay.sendTable({
     part: 3,
     service: "files",
@@ -281,7 +281,7 @@
   const store = new FakeStore(clock);
   const partition = { topic: "configuration", part: 0 };
   const sent: PeerMessage[] = [];
-  const tails: PartitionTail[] = [];
+  const tails: PartitionView[] = [];
   const relay = createRelay({
     clock,
     directory: new KeyDirectory(),
--- a/packages/gateway/src/views/partition_relay_test.ts
+++ b/packages/gateway/src/views/view_relay_targets_test.ts
@@ -6,7 +6,7 @@
 import { KeyDirectory } from "./key_directory.ts";
 import { createMember, createMembers } from "../members/member_fixtures.ts";
 import type { Member, Members } from "../members/members.ts";
-import { PartitionTail } from "./partition_tail.ts";
+import { PartitionView } from "./partition_view.ts";
 import type { PeerMessage } from "../peers/peer_message.ts";
 import { ViewRelay } from "./view_relay.ts";
 
@@ -22,7 +22,7 @@
 class Readers {
   readonly clock = new VirtualClock();
   readonly store = new FakeStore(this.clock);
-  readonly tails = new Map<string, PartitionTail>();
+  readonly tails = new Map<string, PartitionView>();
   readonly duties = new Map<string, Duties>();
   readonly known = new Map<string, Map<string, string>>();
   /** Reads of each instance. */
@@ -66,10 +66,10 @@
       clock: this.clock,
       self,
       members,
-      hasLostStore: () => this.tails.get(name)?.isLost === true,
+      hasLostStore: () => this.tails.get(name)?.hasLostStore === true,
     });
     const relay = this.#createRelay(name, members, duties);
-    const tail = new PartitionTail({
+    const tail = new PartitionView({
       clock: this.clock,
       store: {
         ...client,
@@ -79,15 +79,15 @@
         },
       },
       partition: PARTITION,
-      getPace: () => ({
-        gapMs: GAP_MS,
+      getPollingPolicy: () => ({
+        pollDelayMs: GAP_MS,
         waitMs: 0,
-        validMs: duties.isReader()
+        peerDataTtlMs: duties.isReader()
           ? 0
           : duties.isLocalReader()
           ? LOCAL_VALID_MS
           : VALID_MS,
-        maxPauseMs: 400,
+        maxBackoffMs: 400,
       }),
       apply: ({ key, value }) => known.set(key, value),
       observe: () => undefined,
@@ -112,9 +112,9 @@
       directory: new KeyDirectory(),
       duties,
       findMember: (other) => members.get(other),
-      getTargetsTail: () => this.tails.get(name)!,
-      getConfigurationTail: () => this.tails.get(name)!,
-      getOwnersTail: () => undefined,
+      getTargetsView: () => this.tails.get(name)!,
+      getConfigurationView: () => this.tails.get(name)!,
+      getOwnersView: () => undefined,
       fetchTable: () => undefined,
       send: (to, message) => this.#transfer(name, to, message),
     });
@@ -125,7 +125,7 @@
       for (const [name, members] of this.#members) {
         for (const other of this.tails.keys()) {
           if (other !== name && !this.silent.has(other)) {
-            const hasLost = this.tails.get(other)!.isLost;
+            const hasLost = this.tails.get(other)!.hasLostStore;
             members.recordStoreStatus(other, hasLost, this.clock.readMs());
           }
         }
@@ -263,7 +263,7 @@
   const tail = readers.tails.get(listener)!;
   const { end } = tail;
   readers.store.write(PARTITION, "a", "leaving");
-  tail.applySlice({
+  tail.applyBatch({
     base: end + 1,
     end: end + 1,
     ageMs: 0,
@@ -283,7 +283,7 @@
   await readers.clock.advance(2_000);
   const tail = readers.tails.get("two")!;
   const { end } = tail;
-  tail.applySlice({
+  tail.applyBatch({
     base: 0,
     end: end - 1,
     ageMs: 0,
