--- a/packages/declarations/src/published_routing.ts
+++ b/packages/declarations/src/published_routing.ts
@@ -66,7 +66,7 @@
     // What callers usually wait for is also what they want to be answered in.
     goalMs: deadlines.defaultMs,
     maxAttempts: retry.maxAttempts,
-    rank: 0,
+    priority: 0,
     maxWaitMs: limits.maxQueueMs,
     maxBodyBytes: limits.maxBodyBytes,
     maxAnswerBytes: limits.maxAnswerBytes,
--- a/packages/gateway/src/instance.ts
+++ b/packages/gateway/src/instance.ts
@@ -129,7 +129,7 @@
       retryLimits: settings.retryLimits,
       random: new SeededRandom(randomInt(MAX_SEED)),
       countInstances: () => this.#members.instanceCount,
-      estimateTurnMs: (target) => this.#turns.estimateWaitMs(target),
+      estimatePermitWaitMs: (target) => this.#turns.estimateWaitMs(target),
     });
     this.#accounts = new AccountAdmission(clock);
     this.#views = this.#createViews();
--- a/packages/gateway/src/requests/request_router.ts
+++ b/packages/gateway/src/requests/request_router.ts
@@ -323,7 +323,7 @@
     const workMs = services.getUsualServiceMs(service) ?? 0;
     return services.waitForPlace(service, {
       requestId: request.requestId,
-      rank: route.rank,
+      priority: route.priority,
       arrivedAtMs: request.arrivedAtMs,
       latestStartMs: computeLatestStart(passage, workMs),
       ...(owner === undefined ? {} : { owner }),
--- a/packages/gateway/src/requests/request_router_test.ts
+++ b/packages/gateway/src/requests/request_router_test.ts
@@ -77,7 +77,7 @@
       retryLimits: { ratio: 0.2, reserve: 64, windowMs: 10_000 },
       random: new SeededRandom(1),
       countInstances: () => 1,
-      estimateTurnMs: () => 0,
+      estimatePermitWaitMs: () => 0,
     });
     const self = createMember("bole-1");
     const members = createMembers(self, [], 0);
@@ -219,7 +219,7 @@
         timeoutMs: 800,
         goalMs: 300,
         maxAttempts: 2,
-        rank: 0,
+        priority: 0,
         parts: [{ service: "files", weight: 1 }],
         ...changes,
       }],
--- a/packages/gateway/src/requests/request_simulation.ts
+++ b/packages/gateway/src/requests/request_simulation.ts
@@ -217,7 +217,7 @@
       retryLimits: { ratio: 0.2, reserve: 64, windowMs: 10_000 },
       random: new SeededRandom(1),
       countInstances: () => this.#options.instances.length,
-      estimateTurnMs: (target) => shared.turns.estimateWaitMs(target),
+      estimatePermitWaitMs: (target) => shared.turns.estimateWaitMs(target),
     });
     void services.run(new AbortController().signal);
     const router = new RequestRouter({
@@ -437,7 +437,7 @@
         timeoutMs: 1_500,
         goalMs: 400,
         maxAttempts: 2,
-        rank: 0,
+        priority: 0,
         parts: [{ service: SERVICE, weight: 1 }],
         ...route,
       }],
--- a/packages/gateway/src/requests/service_registry.ts
+++ b/packages/gateway/src/requests/service_registry.ts
@@ -26,7 +26,7 @@
   /** Instances that there may be, this one included. */
   readonly countInstances: () => number;
   /** How long a target takes no more requests, where it limits them. */
-  readonly estimateTurnMs: (target: RoutingTarget) => number;
+  readonly estimatePermitWaitMs: (target: RoutingTarget) => number;
 }
 
 /** Waiting requests are looked through this often for what has become due. */
--- a/packages/ports/src/routing_table.ts
+++ b/packages/ports/src/routing_table.ts
@@ -37,7 +37,7 @@
   /** Targets on which one request may run. */
   readonly maxAttempts: number;
   /** 0 is the most urgent. */
-  readonly rank: number;
+  readonly priority: number;
   readonly parts: readonly RoutePart[];
   /** For a caller that names no deadline. */
   readonly defaultDeadlineMs?: number;
--- a/packages/routing/src/route_index_test.ts
+++ b/packages/routing/src/route_index_test.ts
@@ -11,7 +11,7 @@
     timeoutMs: 1_000,
     goalMs: 200,
     maxAttempts: 2,
-    rank: 0,
+    priority: 0,
     parts: [{ service: "files", weight: 1 }],
   };
 }
--- a/packages/routing/src/service_places.ts
+++ b/packages/routing/src/service_places.ts
@@ -94,7 +94,7 @@
   /** Instances that there may be, this one included. */
   readonly countInstances: () => number;
   /** How long a target takes no more requests, where it limits them. */
-  readonly estimateTurnMs: (target: RoutingTarget) => number;
+  readonly estimatePermitWaitMs: (target: RoutingTarget) => number;
   readonly random: Random;
 }
 
@@ -279,7 +279,7 @@
     const chance = this.#computeChance();
     for (const load of this.#listUsable(request, nowMs)) {
       const answerMs = load.estimateResponseMs(nowMs, usualMs) +
-        this.#options.estimateTurnMs(load.target);
+        this.#options.estimatePermitWaitMs(load.target);
       mayWait ||= load.estimateServiceMs(nowMs, usualMs) <= leftMs;
       const costMs = (1 + chance * this.#options.random.draw()) *
         (answerMs + this.#computeRemoteMs(load, nowMs, usualMs));
--- a/packages/routing/src/service_places_test.ts
+++ b/packages/routing/src/service_places_test.ts
@@ -28,7 +28,7 @@
 ): PlaceRequest {
   return {
     requestId,
-    rank: 1,
+    priority: 1,
     arrivedAtMs: 0,
     latestStartMs: 500,
     excluded: new Set(),
@@ -40,7 +40,7 @@
   const places = new ServicePlaces({
     dataCentre: "bole",
     countInstances: () => 1,
-    estimateTurnMs: () => 0,
+    estimatePermitWaitMs: () => 0,
     random: new SeededRandom(1),
   });
   places.setTargets(targets);
@@ -107,8 +107,8 @@
   for (const n of [1, 2, 3, 4]) {
     offer(places, createRequest(`${n}`));
   }
-  const late = offer(places, createRequest("late", { rank: 2 }));
-  const urgent = offer(places, createRequest("urgent", { rank: 0 }), 5);
+  const late = offer(places, createRequest("late", { priority: 2 }));
+  const urgent = offer(places, createRequest("urgent", { priority: 0 }), 5);
   places.getLoad("a")!.recordEnded("1");
   places.dispatchQueued(10);
   assert.equal(getTarget(urgent), "a");
@@ -147,11 +147,11 @@
   places.getLoad("a")!.recordResponse(100, 0);
   places.setPeerQueueLengths("other", new Map([["", [0, 0, 50]]]), 0);
   assert.equal(
-    getTarget(offer(places, createRequest("1", { rank: 0 }))),
+    getTarget(offer(places, createRequest("1", { priority: 0 }))),
     "a",
   );
   assert.equal(
-    offer(places, createRequest("2", { rank: 2 })).decision?.kind,
+    offer(places, createRequest("2", { priority: 2 })).decision?.kind,
     "refused",
   );
 });
--- a/packages/routing/src/traffic_splitter_test.ts
+++ b/packages/routing/src/traffic_splitter_test.ts
@@ -12,7 +12,7 @@
     timeoutMs: 1_000,
     goalMs: 200,
     maxAttempts: 1,
-    rank: 0,
+    priority: 0,
     parts: weights.map((weight, index) => ({ service: `s${index}`, weight })),
   };
 }
--- a/packages/routing/src/wait_queue.ts
+++ b/packages/routing/src/wait_queue.ts
@@ -8,7 +8,7 @@
 export interface QueuedRequest {
   readonly requestId: string;
   /** 0 is the most urgent. */
-  readonly rank: number;
+  readonly priority: number;
   readonly arrivedAtMs: number;
   /** The only target that may run it; undefined where any may. */
   readonly owner?: string;
@@ -97,7 +97,10 @@
       const lane = getQueueKey(request);
       const ofLane = counts.get(lane) ?? [];
       counts.set(lane, ofLane);
-      const rank = Math.min(MAX_RANK, Math.max(0, Math.floor(request.rank)));
+      const rank = Math.min(
+        MAX_RANK,
+        Math.max(0, Math.floor(request.priority)),
+      );
       while (ofLane.length <= rank) {
         ofLane.push(0);
       }
@@ -138,7 +141,11 @@
   let sum = 0;
   for (const { counts } of peers) {
     const ofLane = counts.get(getQueueKey(request)) ?? [];
-    for (let rank = 0; rank <= request.rank && rank < ofLane.length; rank++) {
+    for (
+      let rank = 0;
+      rank <= request.priority && rank < ofLane.length;
+      rank++
+    ) {
       sum += ofLane[rank]!;
     }
   }
@@ -152,8 +159,8 @@
 
 /** More urgent ranks first, then the accounts' turns, then whoever came first. */
 function isBefore(left: Turn, right: Turn): boolean {
-  if (left.request.rank !== right.request.rank) {
-    return left.request.rank < right.request.rank;
+  if (left.request.priority !== right.request.priority) {
+    return left.request.priority < right.request.priority;
   }
   return left.tag === right.tag
     ? left.request.arrivedAtMs < right.request.arrivedAtMs
--- a/packages/trials/src/load/places_simulation.ts
+++ b/packages/trials/src/load/places_simulation.ts
@@ -135,7 +135,7 @@
       const places = new ServicePlaces({
         dataCentre: this.#getDataCentre(index),
         countInstances: () => scenario.instances,
-        estimateTurnMs: () => 0,
+        estimatePermitWaitMs: () => 0,
         random: new TrafficRandom(scenario.seed * scenario.instances + index),
       });
       places.setTargets(targets);
@@ -225,7 +225,7 @@
     places.submit(
       {
         requestId,
-        rank,
+        priority: rank,
         arrivedAtMs: nowMs,
         latestStartMs: nowMs + goalMs -
           (places.getAverageServiceMs() ?? workMs),
