--- a/packages/gateway/src/requests/service_registry.ts
+++ b/packages/gateway/src/requests/service_registry.ts
@@ -12,7 +12,7 @@
   type PlaceRequest,
   ServicePlaces,
 } from "@lentilspur/routing/service_places";
-import { TrafficSplitter } from "@lentilspur/routing/traffic_splitter";
+import { WeightedSplitter } from "@lentilspur/routing/weighted_splitter";
 import type { TargetLoad } from "@lentilspur/routing/target_load";
 import type { Catalogue } from "../views/catalogue.ts";
 import type { LoadCounts } from "../peers/load_counts.ts";
@@ -40,7 +40,7 @@
   readonly #options: ServiceRegistryOptions;
   readonly #places = new Map<string, ServicePlaces>();
   readonly #retries = new Map<string, RetryBudget>();
-  readonly #split = new TrafficSplitter();
+  readonly #split = new WeightedSplitter();
   /** Targets at which each peer last had requests. */
   readonly #peerTargets = new Map<string, readonly string[]>();
   #retryLimits: RetryLimits;
--- a/packages/routing/src/traffic_splitter.ts
+++ b/packages/routing/src/weighted_splitter.ts
@@ -9,7 +9,7 @@
  */
 import type { Route } from "@lentilspur/ports/routing_table";
 
-export class TrafficSplitter {
+export class WeightedSplitter {
   readonly #credits = new Map<string, Map<string, number>>();
 
   /** Picks the service for the next request of this route. */
--- a/packages/routing/src/traffic_splitter_test.ts
+++ b/packages/routing/src/weighted_splitter_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import type { Route } from "@lentilspur/ports/routing_table";
-import { TrafficSplitter } from "./traffic_splitter.ts";
+import { WeightedSplitter } from "./weighted_splitter.ts";
 
 function createRoute(weights: readonly number[]): Route {
   return {
@@ -26,7 +26,7 @@
       }),
       (weights) => {
         const route = createRoute(weights);
-        const balance = new TrafficSplitter();
+        const balance = new WeightedSplitter();
         const total = weights.reduce((sum, weight) => sum + weight, 0);
         const counts = new Map<string, number>();
         for (let sent = 1; sent <= 300; sent++) {
