--- a/packages/outcomes/src/error_kinds.ts
+++ b/packages/outcomes/src/error_kinds.ts
@@ -1,9 +1,10 @@
 /**
- * The closed list of errors that a caller can be told, and the table from kind
- * to answer. docs/errors.md shows the same table; a test keeps them equal.
+ * The complete list of errors that a caller can receive, and the table from
+ * error kind to HTTP response. docs/errors.md shows the same table; a test
+ * keeps the two equal.
  */
 
-/** What became of a request, as far as it can be proved. */
+/** What is proved about the execution of a request. */
 export type Outcome = "ran" | "not-run" | "unknown";
 
 /** Every error that a caller can receive. */
@@ -28,20 +29,20 @@
   | "deadline-passed"
   | "answer-late";
 
-/** How one kind of error is answered over HTTP. */
+/** The HTTP response for one kind of error. */
 export interface ErrorResponse {
   readonly status: number;
-  /** `not-run` says that the request has not run and never will. */
+  /** `not-run` means that the request has not run and never will. */
   readonly outcome: Exclude<Outcome, "ran">;
-  /** Whether a new attempt can succeed without a change to the request. */
+  /** Whether a retry of the unchanged request can succeed. */
   readonly mayResend: boolean;
-  /** What to do next. */
+  /** What the caller or its operator can do next. */
   readonly advice: string;
 }
 
-const LATER = "Send again after Retry-After";
-const ELSEWHERE = "Send again to another instance";
-const LOOK_UP = "Look up whether it took effect";
+const RETRY_LATER = "Send again after Retry-After";
+const RETRY_ELSEWHERE = "Send again to another instance";
+const CHECK_EFFECT = "Look up whether it took effect";
 
 export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> = {
   "malformed": refuse(400, "Correct the request"),
@@ -54,9 +55,9 @@
     "Ask the operator to allow the template for this client account",
   ),
   "no-such-route": refuse(404, "Use a path that is configured"),
-  "too-slow": refuseForNow(408, "Send the whole request at once"),
+  "too-slow": refuseTemporarily(408, "Send the whole request at once"),
   "body-too-large": refuse(413, "Send a smaller body"),
-  "account-over-limit": refuseForNow(429, LATER),
+  "account-over-limit": refuseTemporarily(429, RETRY_LATER),
   "caller-left": {
     status: 499,
     outcome: "unknown",
@@ -64,29 +65,31 @@
     advice: "The caller closed the connection",
   },
   "answer-lost": failAsUnknown(502),
-  "not-ready": refuseForNow(503, ELSEWHERE),
-  "stopping": refuseForNow(503, ELSEWHERE),
-  "no-target": refuseForNow(503, LATER),
-  "owner-changing": refuseForNow(503, LATER),
-  "overloaded": refuseForNow(503, LATER),
-  "target-refused": refuseForNow(503, LATER),
-  "target-unreachable": refuseForNow(503, LATER),
-  "quarantined": refuseForNow(503, LATER),
-  "deadline-passed": refuseForNow(503, "Allow more time"),
+  "not-ready": refuseTemporarily(503, RETRY_ELSEWHERE),
+  "stopping": refuseTemporarily(503, RETRY_ELSEWHERE),
+  "no-target": refuseTemporarily(503, RETRY_LATER),
+  "owner-changing": refuseTemporarily(503, RETRY_LATER),
+  "overloaded": refuseTemporarily(503, RETRY_LATER),
+  "target-refused": refuseTemporarily(503, RETRY_LATER),
+  "target-unreachable": refuseTemporarily(503, RETRY_LATER),
+  "quarantined": refuseTemporarily(503, RETRY_LATER),
+  "deadline-passed": refuseTemporarily(503, "Allow more time"),
   "answer-late": failAsUnknown(504),
 };
 
-/** Not run, and sending the same again changes nothing. */
+/**
+ * The request did not run, and a retry of the unchanged request fails again.
+ */
 function refuse(status: number, advice: string): ErrorResponse {
   return { status, outcome: "not-run", mayResend: false, advice };
 }
 
-/** Not run, but a later attempt may. */
-function refuseForNow(status: number, advice: string): ErrorResponse {
+/** The request did not run, but a later retry may succeed. */
+function refuseTemporarily(status: number, advice: string): ErrorResponse {
   return { status, outcome: "not-run", mayResend: true, advice };
 }
 
-/** It may have run: whether to send again is for the caller to decide. */
+/** The request may have run, so the caller decides whether to retry. */
 function failAsUnknown(status: number): ErrorResponse {
-  return { status, outcome: "unknown", mayResend: false, advice: LOOK_UP };
+  return { status, outcome: "unknown", mayResend: false, advice: CHECK_EFFECT };
 }
--- a/packages/outcomes/src/error_kinds_test.ts
+++ b/packages/outcomes/src/error_kinds_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { ERROR_RESPONSES } from "./error_kinds.ts";
 
-test("the page of errors shows the same table as the code", () => {
+test("docs/errors.md shows the same table as the code", () => {
   const page = readFileSync(
     new URL("../../../docs/errors.md", import.meta.url),
     "utf8",
@@ -11,9 +11,9 @@
   const shown = page.split("\n")
     .filter((line) => /^\| `/.test(line))
     .map((line) => line.replace(/ +/g, " "));
-  const wanted = Object.entries(ERROR_RESPONSES).map(([kind, answer]) => {
-    const mayResend = answer.mayResend ? "yes" : "no";
-    return `| \`${kind}\` | ${answer.status} | ${answer.outcome} | ${mayResend} | ${answer.advice} |`;
+  const wanted = Object.entries(ERROR_RESPONSES).map(([kind, response]) => {
+    const mayResend = response.mayResend ? "yes" : "no";
+    return `| \`${kind}\` | ${response.status} | ${response.outcome} | ${mayResend} | ${response.advice} |`;
   });
   assert.deepEqual(shown, wanted);
 });
--- a/packages/outcomes/src/result.ts
+++ b/packages/outcomes/src/result.ts
@@ -1,6 +1,6 @@
 /**
- * The one place that takes `ts-results` in. Its ES module build gives its
- * values by default import only, so every other module imports from here.
+ * Re-exports `ts-results`. Its ES module build exposes its values only through
+ * the default import, so all other modules import them from here.
  */
 import results from "ts-results";
 import type { Err as ErrOf, Ok as OkOf, Result as ResultOf } from "ts-results";
--- a/packages/ports/src/clock.ts
+++ b/packages/ports/src/clock.ts
@@ -1,17 +1,21 @@
 /**
- * Elapsed time. Only differences of one clock's readings mean anything: no
- * reading leaves its process, and no two machines' clocks are compared.
+ * Elapsed time. Only differences between readings of the same clock are
+ * meaningful: readings never leave their process, and clocks of different
+ * machines are never compared.
  */
 
 export interface Clock {
-  /** Milliseconds on a monotonic clock that goes on while the process is stopped. */
+  /**
+   * Milliseconds on a monotonic clock that continues while the process is
+   * stopped.
+   */
   readMs(): number;
-  /** Resolves after `ms`, or at once when `signal` aborts. Never rejects. */
+  /** Resolves after `ms`, or as soon as `signal` aborts. Never rejects. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** Numbers that look random; tests pass a seeded one. */
+/** A source of random numbers; tests use a seeded one. */
 export interface Random {
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   draw(): number;
 }
--- a/packages/ports/src/fake_key_holders.ts
+++ b/packages/ports/src/fake_key_holders.ts
@@ -1,7 +1,8 @@
 /**
- * Targets that hold keys, in virtual time: they check tokens, let holds run
- * out, answer late or never, and carry out late what they left unanswered. They
- * keep a history by which a test judges whether a key ever had two holders.
+ * Simulates targets that hold keys, in virtual time: they check tokens, let
+ * holds expire, respond late or never, and may apply an unanswered order later.
+ * Records every hold, so that a test can check that no key ever had two
+ * holders.
  */
 import type { Clock } from "./clock.ts";
 import {
@@ -16,17 +17,17 @@
 
 export type HolderFaultMode =
   | "answering"
-  /** Orders neither arrive nor fail at once. */
+  /** Orders do not arrive, and fail only after a timeout. */
   | "unreachable"
-  /** No connection opens: not a byte of an order leaves its sender. */
+  /** No connection opens, so no byte of an order is sent. */
   | "unconnectable"
-  /** Grants take effect some seconds after they came, unanswered. */
+  /** Grants get no response and take effect seconds after they arrive. */
   | "late";
 
-/** A span in which a target held keys. */
+/** An interval in which a target held a key range. */
 export interface HoldInterval extends KeyRange {
   readonly targetId: string;
-  /** Which start of the target held them. */
+  /** Number of the target's start, from 1. */
   readonly incarnation: number;
   readonly token: number;
   readonly fromMs: number;
@@ -42,13 +43,13 @@
 
 interface Session {
   readonly number: number;
-  readonly life: number;
+  readonly incarnation: number;
 }
 
-const TRAVEL_MS = 1;
-const TIMEOUT_MS = 400;
-const CONNECT_MS = 250;
-/** Work that runs on released keys ends after this. */
+const LATENCY_MS = 1;
+const RESPONSE_TIMEOUT_MS = 400;
+const CONNECT_TIMEOUT_MS = 250;
+/** Requests that run on released keys end after this. */
 const WORK_MS = 60;
 
 export class FakeKeyHolders {
@@ -56,25 +57,28 @@
   readonly orders: ReceivedOrder[] = [];
   readonly #clock: Clock;
   readonly #faultModes = new Map<string, HolderFaultMode>();
-  readonly #highest = new Map<string, (KeyRange & { token: number })[]>();
+  readonly #seenTokens = new Map<string, (KeyRange & { token: number })[]>();
   readonly #ended = new Set<string>();
-  readonly #lives = new Map<string, number>();
-  #lateMs = 6_000;
+  readonly #incarnations = new Map<string, number>();
+  #lateGrantDelayMs = 6_000;
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  setFaultMode(targetId: string, mood: HolderFaultMode): void {
-    this.#faultModes.set(targetId, mood);
+  setFaultMode(targetId: string, mode: HolderFaultMode): void {
+    this.#faultModes.set(targetId, mode);
   }
 
-  /** How long after its arrival an unanswered grant is carried out. */
+  /** Sets the delay between the arrival of a late grant and its effect. */
   setLateGrantDelayMs(lateMs: number): void {
-    this.#lateMs = lateMs;
+    this.#lateGrantDelayMs = lateMs;
   }
 
-  /** `canReach` says whether this sender's orders reach a target. */
+  /**
+   * Creates the order client of one sender; `canReach` returns whether its
+   * orders reach a target.
+   */
   createClient(
     canReach: (targetId: string) => boolean = () => true,
   ): KeyOrderSender {
@@ -84,7 +88,7 @@
       if (outcome.kind === "unanswered") {
         sessions.set(id, {
           number: getSession(id) + 1,
-          life: this.#getLife(id),
+          incarnation: this.#getIncarnation(id),
         });
       }
       return outcome;
@@ -94,63 +98,71 @@
       grant: async (to, order, session) =>
         session === getSession(to.id)
           ? breakSession(to.id, await this.#grant(to, order, canReach))
-          : { kind: "session-over", message: "Another session is open" },
+          : {
+            kind: "session-over",
+            message: "The session with the target has ended",
+          },
       release: async (from, order) =>
         breakSession(from.id, await this.#release(from, order, canReach)),
     };
   }
 
-  /** The target starts again under its id: it holds and knows nothing. */
+  /**
+   * Restarts the target under its id: the new process has no holds and no
+   * tokens.
+   */
   restart(targetId: string): void {
-    this.#expireSpans(targetId);
-    this.#highest.delete(targetId);
-    this.#lives.set(targetId, this.#getLife(targetId) + 1);
+    this.#expireAllHolds(targetId);
+    this.#seenTokens.delete(targetId);
+    this.#incarnations.set(targetId, this.#getIncarnation(targetId) + 1);
   }
 
-  /** Connections end with the process, which ends the session. */
+  /** Connections end with the target process, which ends the session. */
   #updateSession(sessions: Map<string, Session>, id: string): number {
-    const life = this.#getLife(id);
-    const known = sessions.get(id) ?? { number: 1, life };
-    const number = known.life === life ? known.number : known.number + 1;
-    sessions.set(id, { number, life });
+    const incarnation = this.#getIncarnation(id);
+    const known = sessions.get(id) ?? { number: 1, incarnation };
+    const number = known.incarnation === incarnation
+      ? known.number
+      : known.number + 1;
+    sessions.set(id, { number, incarnation });
     return number;
   }
 
-  #getLife(targetId: string): number {
-    return this.#lives.get(targetId) ?? 1;
+  #getIncarnation(targetId: string): number {
+    return this.#incarnations.get(targetId) ?? 1;
   }
 
-  /** The process ends: it holds nothing from now on and answers no more. */
+  /** Ends the target process: its holds end and it responds no more. */
   kill(targetId: string): void {
     this.#ended.add(targetId);
-    this.#expireSpans(targetId);
+    this.#expireAllHolds(targetId);
   }
 
-  #expireSpans(targetId: string): void {
+  #expireAllHolds(targetId: string): void {
     const nowMs = this.#clock.readMs();
-    for (const span of this.holdIntervals) {
-      if (span.targetId === targetId) {
-        span.untilMs = Math.min(span.untilMs, nowMs);
+    for (const interval of this.holdIntervals) {
+      if (interval.targetId === targetId) {
+        interval.untilMs = Math.min(interval.untilMs, nowMs);
       }
     }
   }
 
-  /** Holders that got a key with a token not above those of others before. */
+  /** Lists holds whose token is not higher than that of an earlier holder. */
   listStaleTokens(): readonly string[] {
-    return this.holdIntervals.flatMap((span, index) =>
+    return this.holdIntervals.flatMap((interval, index) =>
       this.holdIntervals.slice(0, index)
         .filter((earlier) =>
-          (earlier.targetId !== span.targetId ||
-            earlier.incarnation !== span.incarnation) &&
-          hasOverlap(earlier, span) && earlier.token >= span.token
+          (earlier.targetId !== interval.targetId ||
+            earlier.incarnation !== interval.incarnation) &&
+          hasOverlap(earlier, interval) && earlier.token >= interval.token
         )
         .map((earlier) =>
-          `${span.targetId}:${span.token} after ${earlier.targetId}:${earlier.token}`
+          `${interval.targetId}:${interval.token} after ${earlier.targetId}:${earlier.token}`
         )
     );
   }
 
-  /** Pairs of targets that held a key at one time. */
+  /** Lists pairs of targets that held the same key at the same time. */
   listOverlaps(): readonly string[] {
     const overlaps: string[] = [];
     for (const [index, left] of this.holdIntervals.entries()) {
@@ -169,11 +181,11 @@
     return overlaps;
   }
 
-  /** Who holds a key now. */
+  /** Finds the target that holds a key now. */
   findHolder(key: number): string | undefined {
     const nowMs = this.#clock.readMs();
-    return this.holdIntervals.find((span) =>
-      span.from <= key && key <= span.to && span.untilMs > nowMs
+    return this.holdIntervals.find((interval) =>
+      interval.from <= key && key <= interval.to && interval.untilMs > nowMs
     )?.targetId;
   }
 
@@ -182,11 +194,11 @@
     order: GrantOrder,
     canReach: (targetId: string) => boolean,
   ): Promise<OrderOutcome> {
-    const mood = this.#getMood(to.id);
-    if (mood === "unconnectable") {
+    const mode = this.#getFaultMode(to.id);
+    if (mode === "unconnectable") {
       return await this.#failConnection();
     }
-    if (mood === "unreachable" || !canReach(to.id)) {
+    if (mode === "unreachable" || !canReach(to.id)) {
       return await this.#failOrder();
     }
     if (!await this.#waitForArrival(to.id)) {
@@ -194,11 +206,11 @@
     }
     const arrivedAtMs = this.#clock.readMs();
     this.#recordOrder("grant", to.id, order);
-    if (mood === "late") {
+    if (mode === "late") {
       void this.#grantLate(to, order, arrivedAtMs);
       return await this.#failOrder();
     }
-    if (this.#hasSeenHigher(to.id, order)) {
+    if (this.#hasSeenHigherToken(to.id, order)) {
       return { kind: "superseded" };
     }
     this.#recordHold(to.id, order, arrivedAtMs);
@@ -206,17 +218,20 @@
   }
 
   /**
-   * False where the process that the order was sent to ends meanwhile: its
-   * connection ends with it, so neither it nor a later life gets the order.
+   * Returns false if the target process ends before the order arrives: the
+   * connection ends with it, so no later incarnation receives the order either.
    */
   async #waitForArrival(targetId: string): Promise<boolean> {
-    const life = this.#getLife(targetId);
-    await this.#clock.sleep(TRAVEL_MS);
-    return !this.#ended.has(targetId) && this.#getLife(targetId) === life;
+    const incarnation = this.#getIncarnation(targetId);
+    await this.#clock.sleep(LATENCY_MS);
+    return !this.#ended.has(targetId) &&
+      this.#getIncarnation(targetId) === incarnation;
   }
 
-  /** A process that has ended stays so, whatever is set for it afterwards. */
-  #getMood(targetId: string): HolderFaultMode {
+  /**
+   * A process that has ended stays unreachable, whatever mode is set for it.
+   */
+  #getFaultMode(targetId: string): HolderFaultMode {
     return this.#ended.has(targetId)
       ? "unreachable"
       : this.#faultModes.get(targetId) ?? "answering";
@@ -227,11 +242,12 @@
     order: GrantOrder,
     arrivedAtMs: number,
   ): Promise<void> {
-    const life = this.#getLife(to.id);
-    await this.#clock.sleep(this.#lateMs);
-    // Carried out whatever came in between; its time counts from its arrival.
+    const incarnation = this.#getIncarnation(to.id);
+    await this.#clock.sleep(this.#lateGrantDelayMs);
+    // Applies whatever happened in between; the hold time counts from the
+    // arrival.
     if (
-      !this.#ended.has(to.id) && this.#getLife(to.id) === life &&
+      !this.#ended.has(to.id) && this.#getIncarnation(to.id) === incarnation &&
       this.#clock.readMs() < arrivedAtMs + order.holdMs
     ) {
       this.#recordHold(to.id, order, arrivedAtMs);
@@ -243,31 +259,31 @@
     order: ReleaseOrder,
     canReach: (targetId: string) => boolean,
   ): Promise<OrderOutcome> {
-    const mood = this.#getMood(from.id);
-    if (mood === "unconnectable") {
+    const mode = this.#getFaultMode(from.id);
+    if (mode === "unconnectable") {
       return await this.#failConnection();
     }
-    if (mood === "unreachable" || !canReach(from.id)) {
+    if (mode === "unreachable" || !canReach(from.id)) {
       return await this.#failOrder();
     }
     if (!await this.#waitForArrival(from.id)) {
       return await this.#failOrder();
     }
     this.#recordOrder("release", from.id, order);
-    this.#addSeen(from.id, order);
+    this.#addSeenToken(from.id, order);
     this.#expireHolds(from.id, order);
     await this.#clock.sleep(WORK_MS);
     return { kind: "done", handover: `handover-${from.id}` };
   }
 
   async #failConnection(): Promise<OrderOutcome> {
-    await this.#clock.sleep(CONNECT_MS);
-    return { kind: "unsent", message: "No connection" };
+    await this.#clock.sleep(CONNECT_TIMEOUT_MS);
+    return { kind: "unsent", message: "No connection to the target" };
   }
 
   async #failOrder(): Promise<OrderOutcome> {
-    await this.#clock.sleep(TIMEOUT_MS);
-    return { kind: "unanswered", message: "No answer" };
+    await this.#clock.sleep(RESPONSE_TIMEOUT_MS);
+    return { kind: "unanswered", message: "No response to the order" };
   }
 
   #recordOrder(
@@ -282,11 +298,11 @@
 
   #recordHold(targetId: string, order: GrantOrder, arrivedAtMs: number): void {
     const nowMs = this.#clock.readMs();
-    this.#addSeen(targetId, order);
+    this.#addSeenToken(targetId, order);
     this.#expireHolds(targetId, order);
     this.holdIntervals.push({
       targetId,
-      incarnation: this.#getLife(targetId),
+      incarnation: this.#getIncarnation(targetId),
       from: order.from,
       to: order.to,
       token: order.token,
@@ -295,37 +311,47 @@
     });
   }
 
-  /** A renewal takes the place of the hold before; what is left of it goes on. */
+  /**
+   * A new hold replaces earlier ones on its range; the rest of those continues.
+   */
   #expireHolds(targetId: string, range: KeyRange): void {
     const nowMs = this.#clock.readMs();
-    for (const span of [...this.holdIntervals]) {
+    for (const interval of [...this.holdIntervals]) {
       if (
-        span.targetId !== targetId || span.untilMs <= nowMs ||
-        span.from > range.to || span.to < range.from
+        interval.targetId !== targetId || interval.untilMs <= nowMs ||
+        interval.from > range.to || interval.to < range.from
       ) {
         continue;
       }
-      if (span.from < range.from) {
-        this.holdIntervals.push({ ...span, to: range.from - 1, fromMs: nowMs });
+      if (interval.from < range.from) {
+        this.holdIntervals.push({
+          ...interval,
+          to: range.from - 1,
+          fromMs: nowMs,
+        });
       }
-      if (span.to > range.to) {
-        this.holdIntervals.push({ ...span, from: range.to + 1, fromMs: nowMs });
+      if (interval.to > range.to) {
+        this.holdIntervals.push({
+          ...interval,
+          from: range.to + 1,
+          fromMs: nowMs,
+        });
       }
-      span.untilMs = nowMs;
+      interval.untilMs = nowMs;
     }
   }
 
-  #addSeen(targetId: string, order: KeyRange & { token: number }): void {
-    const seen = this.#highest.get(targetId) ?? [];
+  #addSeenToken(targetId: string, order: KeyRange & { token: number }): void {
+    const seen = this.#seenTokens.get(targetId) ?? [];
     const { from, to, token } = order;
-    this.#highest.set(targetId, [...seen, { from, to, token }]);
+    this.#seenTokens.set(targetId, [...seen, { from, to, token }]);
   }
 
-  #hasSeenHigher(
+  #hasSeenHigherToken(
     targetId: string,
     order: KeyRange & { token: number },
   ): boolean {
-    return (this.#highest.get(targetId) ?? []).some((seen) =>
+    return (this.#seenTokens.get(targetId) ?? []).some((seen) =>
       hasOverlap(seen, order) &&
       seen.token > order.token
     );
--- a/packages/ports/src/fake_store.ts
+++ b/packages/ports/src/fake_store.ts
@@ -1,6 +1,6 @@
 /**
- * A store in memory, in virtual time: conditional appends, newest records,
- * groups, and the ways in which a store fails its callers.
+ * In-memory store in virtual time, with conditional appends, newest records,
+ * groups and injected failures.
  */
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import type { Clock } from "./clock.ts";
@@ -17,21 +17,21 @@
   StoreRecord,
 } from "./store.ts";
 
-/** How the store treats the calls of one caller. */
+/** How the store handles the calls of one caller. */
 export type StoreFaultMode =
   | "serving"
-  /** Nothing is done, and it says so. */
+  /** Calls fail with an error and have no effect. */
   | "refusing"
-  /** No answer, nothing done. */
+  /** Calls get no response and have no effect. */
   | "silent"
-  /** Appends are done, their answers are lost. */
+  /** Appends take effect, but their responses are lost. */
   | "losing-answers";
 
-const CALL_MS = 4;
-const SILENCE_MS = 1_000;
+const CALL_LATENCY_MS = 4;
+const RESPONSE_TIMEOUT_MS = 1_000;
 const READ_POLL_MS = 5;
-/** An answer on a slow link comes in pieces of this long. */
-const PIECE_MS = 40;
+/** A response on a slow link arrives in chunks of this duration. */
+const CHUNK_MS = 40;
 
 interface Group {
   generation: number;
@@ -42,7 +42,7 @@
   readonly #clock: Clock;
   readonly #parts: number;
   readonly #records = new Map<string, StoreRecord[]>();
-  readonly #firstKept = new Map<string, number>();
+  readonly #firstRetained = new Map<string, number>();
   readonly #groups = new Map<string, Group>();
   readonly #faultModes = new Map<string, StoreFaultMode>();
   readonly #linkRates = new Map<string, number>();
@@ -52,7 +52,7 @@
     this.#parts = parts;
   }
 
-  /** The store as one caller sees it. */
+  /** Creates a client through which one caller uses the store. */
   createClient(caller: string): Store {
     return {
       append: (request) => this.#append(caller, request),
@@ -64,48 +64,54 @@
     };
   }
 
-  setFaultMode(caller: string, mood: StoreFaultMode): void {
-    this.#faultModes.set(caller, mood);
+  setFaultMode(caller: string, mode: StoreFaultMode): void {
+    this.#faultModes.set(caller, mode);
   }
 
-  /** From now on what a caller reads comes in at this rate. */
+  /** Sets the rate at which read responses reach a caller. */
   setLinkRate(caller: string, bytesPerMs: number): void {
     this.#linkRates.set(caller, bytesPerMs);
   }
 
-  /** Old records go; the newest of each key can be listed still. */
+  /**
+   * Expires all records of a partition; `readNewest` still returns the newest
+   * of each key.
+   */
   removeHistory(partition: Partition): void {
     const name = formatPartition(partition);
-    this.#firstKept.set(name, this.#list(name).length);
+    this.#firstRetained.set(name, this.#getRecords(name).length);
   }
 
-  /** Writes as somebody who has no part in the test. */
+  /** Appends a record as a caller outside the test. */
   write(partition: Partition, key: string, value: string): number {
     return this.#apply({ partition, key, value }).unwrap();
   }
 
   listRecords(partition: Partition): readonly StoreRecord[] {
-    return this.#list(formatPartition(partition));
+    return this.#getRecords(formatPartition(partition));
   }
 
   async #append(
     caller: string,
     request: AppendRequest,
   ): Promise<Result<number, StoreFailure>> {
-    const failure = await this.#wait(caller);
+    const failure = await this.#waitForCall(caller);
     if (failure !== undefined) {
       return Err(failure);
     }
     const applied = this.#apply(request);
     if (this.#faultModes.get(caller) === "losing-answers") {
-      await this.#clock.sleep(SILENCE_MS);
-      return Err({ kind: "unavailable", message: "The answer was lost" });
+      await this.#clock.sleep(RESPONSE_TIMEOUT_MS);
+      return Err({
+        kind: "unavailable",
+        message: "The response of the store was lost",
+      });
     }
     return applied;
   }
 
   #apply(request: AppendRequest): Result<number, StoreFailure> {
-    const list = this.#list(formatPartition(request.partition));
+    const list = this.#getRecords(formatPartition(request.partition));
     if (request.at !== undefined && request.at !== list.length) {
       return Err({ kind: "conflict", end: list.length });
     }
@@ -118,22 +124,22 @@
     caller: string,
     request: ReadRequest,
   ): Promise<Result<StoreReadResult, StoreFailure>> {
-    const failure = await this.#wait(caller);
+    const failure = await this.#waitForCall(caller);
     if (failure !== undefined) {
       return Err(failure);
     }
     const name = formatPartition(request.partition);
     const untilMs = this.#clock.readMs() + request.waitMs;
     while (
-      this.#list(name).length <= request.from &&
+      this.#getRecords(name).length <= request.from &&
       this.#clock.readMs() < untilMs
     ) {
       await this.#clock.sleep(READ_POLL_MS);
     }
-    if (request.from < (this.#firstKept.get(name) ?? 0)) {
+    if (request.from < (this.#firstRetained.get(name) ?? 0)) {
       return Err({ kind: "expired" });
     }
-    const list = this.#list(name);
+    const list = this.#getRecords(name);
     const slice = { records: list.slice(request.from), end: list.length };
     await this.#transfer(caller, slice, request);
     return Ok(slice);
@@ -144,11 +150,11 @@
     partition: Partition,
     options: ReadOptions = {},
   ): Promise<Result<StoreReadResult, StoreFailure>> {
-    const failure = await this.#wait(caller);
+    const failure = await this.#waitForCall(caller);
     if (failure !== undefined) {
       return Err(failure);
     }
-    const list = this.#list(formatPartition(partition));
+    const list = this.#getRecords(formatPartition(partition));
     const newest = new Map(list.map((record) => [record.key, record]));
     const records = [...newest.values()].filter(({ value }) => value !== "");
     const slice = { records, end: list.length };
@@ -156,19 +162,22 @@
     return Ok(slice);
   }
 
-  /** Lets an answer come in piece by piece, as fast as the caller's link is. */
+  /** Delivers a response in chunks at the rate of the caller's link. */
   async #transfer(
     caller: string,
     { records }: StoreReadResult,
     { onData }: ReadOptions,
   ): Promise<void> {
     const bytesPerMs = this.#linkRates.get(caller) ?? Infinity;
-    let leftBytes = records.reduce((sum, { value }) => sum + value.length, 0);
-    while (leftBytes > 0 && bytesPerMs < Infinity) {
-      const bytes = Math.min(leftBytes, PIECE_MS * bytesPerMs);
+    let remainingBytes = records.reduce(
+      (sum, { value }) => sum + value.length,
+      0,
+    );
+    while (remainingBytes > 0 && bytesPerMs < Infinity) {
+      const bytes = Math.min(remainingBytes, CHUNK_MS * bytesPerMs);
       await this.#clock.sleep(bytes / bytesPerMs);
       onData?.(bytes);
-      leftBytes -= bytes;
+      remainingBytes -= bytes;
     }
   }
 
@@ -176,7 +185,7 @@
     caller: string,
     request: JoinRequest,
   ): Promise<Result<GroupAssignment, StoreFailure>> {
-    const failure = await this.#wait(caller);
+    const failure = await this.#waitForCall(caller);
     if (failure !== undefined) {
       return Err(failure);
     }
@@ -199,7 +208,7 @@
     name: string,
     member: string,
   ): Promise<Result<void, StoreFailure>> {
-    const failure = await this.#wait(caller);
+    const failure = await this.#waitForCall(caller);
     if (failure !== undefined) {
       return Err(failure);
     }
@@ -229,23 +238,23 @@
     }
   }
 
-  async #wait(caller: string): Promise<StoreFailure | undefined> {
-    const mood = this.#faultModes.get(caller) ?? "serving";
-    switch (mood) {
+  async #waitForCall(caller: string): Promise<StoreFailure | undefined> {
+    const mode = this.#faultModes.get(caller) ?? "serving";
+    switch (mode) {
       case "serving":
       case "losing-answers":
-        await this.#clock.sleep(CALL_MS);
+        await this.#clock.sleep(CALL_LATENCY_MS);
         return undefined;
       case "refusing":
-        await this.#clock.sleep(CALL_MS);
-        return { kind: "refused", message: "The store is busy" };
+        await this.#clock.sleep(CALL_LATENCY_MS);
+        return { kind: "refused", message: "The store refused the call" };
       case "silent":
-        await this.#clock.sleep(SILENCE_MS);
-        return { kind: "unavailable", message: "No answer" };
+        await this.#clock.sleep(RESPONSE_TIMEOUT_MS);
+        return { kind: "unavailable", message: "The store sent no response" };
     }
   }
 
-  #list(name: string): StoreRecord[] {
+  #getRecords(name: string): StoreRecord[] {
     const list = this.#records.get(name) ?? [];
     this.#records.set(name, list);
     return list;
--- a/packages/ports/src/fake_target.ts
+++ b/packages/ports/src/fake_target.ts
@@ -1,6 +1,6 @@
 /**
- * A target in memory: a few places and a queue, holds of keys with fencing
- * tokens, and what it ran, by which a test or trial judges.
+ * In-memory target with places, a queue and holds of keys with fencing tokens.
+ * Records the requests that it ran, so that tests and trials can check them.
  */
 import { createHash } from "node:crypto";
 import type { Clock } from "./clock.ts";
@@ -8,27 +8,30 @@
 
 export type RunState =
   | "running"
-  /** It ran to its end and was answered. */
+  /** The run finished and was answered. */
   | "done"
-  /** Its hold of the key had run out before the end: no effect. */
+  /** The hold of the key expired before the run finished: no effect. */
   | "lapsed";
 
 export interface TargetRun {
   readonly target: string;
   readonly service: string;
-  /** Order of starts in this process. */
+  /** Order of starts at this target. */
   readonly sequence: number;
   readonly requestId: string;
   readonly key: number;
   readonly path?: string;
-  /** Of the hold under which it began; 0 where the service is not keyed. */
+  /**
+   * Token of the hold under which the run started; 0 if the service is not
+   * keyed.
+   */
   readonly token: number;
-  /** On the target's own clock. */
+  /** By the target's own clock. */
   readonly startedAtMs: number;
-  /** Null while it runs. */
+  /** Null while the request runs. */
   readonly endedAtMs: number | null;
   readonly ending: RunState;
-  /** SHA-256 of the answer's body, in hex, once there is one. */
+  /** SHA-256 of the response body in hex; set when the run has finished. */
   readonly answerDigest?: string;
 }
 
@@ -36,14 +39,14 @@
   readonly clock: Clock;
   readonly id: string;
   readonly service: string;
-  /** Whether it runs only requests for keys that it holds. */
+  /** Whether the target runs only requests for keys that it holds. */
   readonly keyed: boolean;
   readonly workMs: number;
-  /** Told when a run begins and when it ends. */
+  /** Called when a run starts and when it ends. */
   readonly observeRun?: (run: TargetRun) => void;
-  /** Whether the target crashes soon after it has begun to run a request. */
+  /** Whether the target crashes soon after it starts to run a request. */
   readonly isFatal?: (request: TargetRequest) => boolean;
-  /** Told when it has crashed; it does nothing more. */
+  /** Called after a crash, when the target runs nothing more. */
   readonly observeCrash?: () => void;
 }
 
@@ -51,12 +54,12 @@
   readonly requestId: string;
   readonly key: number;
   readonly path?: string;
-  /** What it will answer. */
+  /** The response body. */
   readonly body: string;
 }
 
 export type TargetReply =
-  /** The target ended before it could answer. */
+  /** The target crashed before it could respond. */
   | { readonly kind: "crashed" }
   | { readonly kind: "not-owner" }
   | { readonly kind: "full" }
@@ -67,26 +70,29 @@
   readonly untilMs: number;
 }
 
-/** A request that runs. */
-interface Work {
+/** A running request. */
+interface RunningRequest {
   readonly key: number;
-  /** Ended later, it has no effect: its hold had run out. */
-  allowedUntilMs: number;
+  /**
+   * If the request finishes later than this, its hold has expired and it has no
+   * effect.
+   */
+  effectiveUntilMs: number;
   readonly ended: Promise<void>;
 }
 
-/** As both users' targets have. */
+/** Number of places that the targets of both users have. */
 export const TARGET_PLACES = 2;
-const QUEUE = 8;
-/** A fatal request ends its target this long after it has begun to run. */
-const CRASH_AFTER_MS = 25;
+const QUEUE_CAPACITY = 8;
+/** A fatal request crashes its target this long after it starts to run. */
+const CRASH_DELAY_MS = 25;
 
 export class FakeTarget {
-  /** Ids of the requests that it ran, in order. */
+  /** Ids of the requests that were started, in order. */
   readonly ran: string[] = [];
   readonly #options: FakeTargetOptions;
   readonly #waiting: (() => void)[] = [];
-  readonly #working = new Set<Work>();
+  readonly #runningRequests = new Set<RunningRequest>();
   #holds: Hold[] = [];
   #running = 0;
   #runs = 0;
@@ -107,7 +113,7 @@
     return this.#crash.signal.aborted;
   }
 
-  /** Ends with all that it runs; nobody is answered. */
+  /** Crashes the target; its requests get no response. */
   fail(): void {
     if (!this.hasCrashed) {
       this.#crash.abort();
@@ -119,7 +125,7 @@
     return { running: this.#running, waiting: this.#waiting.length };
   }
 
-  /** False where it has seen a higher token on one of the keys. */
+  /** Returns false if a hold on one of the keys has a higher token. */
   applyGrant(
     range: KeyRange,
     { token, holdMs }: { readonly token: number; readonly holdMs: number },
@@ -131,33 +137,36 @@
     this.#removeHolds(range);
     const untilMs = this.#options.clock.readMs() + holdMs;
     this.#holds.push({ ...range, token, untilMs });
-    for (const work of this.#listWork(range)) {
-      work.allowedUntilMs = Math.max(work.allowedUntilMs, untilMs);
+    for (const running of this.#listRunning(range)) {
+      running.effectiveUntilMs = Math.max(running.effectiveUntilMs, untilMs);
     }
     return true;
   }
 
-  /** New work stops at once; resolves when what runs on these keys has ended. */
+  /**
+   * Removes the holds of a range, so that no new request for it starts.
+   * Resolves when the requests running on these keys have ended.
+   */
   async applyRelease(range: KeyRange): Promise<void> {
     this.#removeHolds(range);
-    const working = this.#listWork(range);
-    for (const work of working) {
-      work.allowedUntilMs = Infinity;
+    const affected = this.#listRunning(range);
+    for (const running of affected) {
+      running.effectiveUntilMs = Infinity;
     }
-    await Promise.all(working.map(({ ended }) => ended));
+    await Promise.all(affected.map(({ ended }) => ended));
   }
 
-  /** What is left of a hold that a range is taken out of stays held. */
+  /** Removes a range from the holds; the rest of each hold stays. */
   #removeHolds(range: KeyRange): void {
     this.#holds = this.#holds.flatMap((hold) => splitRange(hold, range));
   }
 
-  #listWork({ from, to }: KeyRange): readonly Work[] {
-    return [...this.#working]
+  #listRunning({ from, to }: KeyRange): readonly RunningRequest[] {
+    return [...this.#runningRequests]
       .filter(({ key }) => from <= key && key <= to);
   }
 
-  /** The token under which it holds a key now. */
+  /** Finds the token under which the target holds a key now. */
   findToken(key: number): number | undefined {
     const nowMs = this.#options.clock.readMs();
     return this.#holds
@@ -175,57 +184,59 @@
 
   async #runToEnd(request: TargetRequest): Promise<TargetReply> {
     const { clock, keyed, workMs, isFatal } = this.#options;
-    const { body, ...asked } = request;
-    const { key } = asked;
+    const { body, ...fields } = request;
+    const { key } = fields;
     const token = keyed ? this.findToken(key) : 0;
     if (token === undefined) {
       return { kind: "not-owner" };
     }
-    if (this.#running >= TARGET_PLACES && this.#waiting.length >= QUEUE) {
+    if (
+      this.#running >= TARGET_PLACES && this.#waiting.length >= QUEUE_CAPACITY
+    ) {
       return { kind: "full" };
     }
     await this.#takePlace();
-    const run = this.#startRun({ ...asked, token });
-    const work = this.#startWork(key);
+    const run = this.#startRun({ ...fields, token });
+    const running = this.#addRunning(key);
     if (isFatal?.(request) === true) {
-      await clock.sleep(CRASH_AFTER_MS);
+      await clock.sleep(CRASH_DELAY_MS);
       this.fail();
     }
     await clock.sleep(workMs, this.#crash.signal);
     if (this.hasCrashed) {
       return { kind: "crashed" };
     }
-    this.#leavePlace();
-    const isLapsed = keyed && clock.readMs() > work.allowedUntilMs;
-    work.end();
+    this.#releasePlace();
+    const isLapsed = keyed && clock.readMs() > running.effectiveUntilMs;
+    running.end();
     const ending = isLapsed ? "lapsed" : "done";
-    return { kind: "ran", run: this.#settleRun(run, body, ending) };
+    return { kind: "ran", run: this.#recordRunEnd(run, body, ending) };
   }
 
-  /** It may have waited: by now its hold may have run out already. */
-  #startWork(key: number): Work & { readonly end: () => void } {
-    let settle = (): void => {};
-    const ended = new Promise<void>((resolve) => settle = resolve);
+  /** The hold may have expired while the request was queued. */
+  #addRunning(key: number): RunningRequest & { readonly end: () => void } {
+    let resolveEnded = (): void => {};
+    const ended = new Promise<void>((resolve) => resolveEnded = resolve);
     const hold = this.#holds.find(({ from, to }) => from <= key && key <= to);
-    const work = {
+    const running = {
       key,
-      allowedUntilMs: hold?.untilMs ?? -Infinity,
+      effectiveUntilMs: hold?.untilMs ?? -Infinity,
       ended,
       end: () => {
-        this.#working.delete(work);
-        settle();
+        this.#runningRequests.delete(running);
+        resolveEnded();
       },
     };
-    this.#working.add(work);
-    return work;
+    this.#runningRequests.add(running);
+    return running;
   }
 
   #startRun(
-    of: Pick<TargetRun, "requestId" | "key" | "path" | "token">,
+    fields: Pick<TargetRun, "requestId" | "key" | "path" | "token">,
   ): TargetRun {
     const { id: target, service, clock, observeRun } = this.#options;
     const run: TargetRun = {
-      ...of,
+      ...fields,
       target,
       service,
       sequence: ++this.#runs,
@@ -233,17 +244,17 @@
       endedAtMs: null,
       ending: "running",
     };
-    this.ran.push(of.requestId);
+    this.ran.push(fields.requestId);
     observeRun?.(run);
     return run;
   }
 
-  #settleRun(run: TargetRun, body: string, ending: RunState): TargetRun {
+  #recordRunEnd(run: TargetRun, body: string, ending: RunState): TargetRun {
     const answerDigest = createHash("sha256").update(body).digest("hex");
     const endedAtMs = this.#options.clock.readMs();
-    const settled = { ...run, endedAtMs, ending, answerDigest };
-    this.#options.observeRun?.(settled);
-    return settled;
+    const finished = { ...run, endedAtMs, ending, answerDigest };
+    this.#options.observeRun?.(finished);
+    return finished;
   }
 
   async #takePlace(): Promise<void> {
@@ -253,7 +264,7 @@
     this.#running++;
   }
 
-  #leavePlace(): void {
+  #releasePlace(): void {
     this.#running--;
     this.#waiting.shift()?.();
   }
--- a/packages/ports/src/fake_target_test.ts
+++ b/packages/ports/src/fake_target_test.ts
@@ -28,7 +28,7 @@
   return reply?.kind === "ran" ? reply.run.ending : reply?.kind;
 }
 
-test("keys are held for a time, under the highest token seen", async () => {
+test("a hold expires, and a grant with a lower token is refused", async () => {
   const { clock, target } = createTarget();
   assert.ok(target.applyGrant(RANGE, { token: 5, holdMs: 1_000 }));
   assert.ok(!target.applyGrant({ from: 50, to: 60 }, { token: 4, holdMs: 9 }));
@@ -40,7 +40,7 @@
   assert.equal(getEnding(late), "not-owner");
 });
 
-test("a release waits for what runs, and takes out only its range", async () => {
+test("a release waits for running requests and removes only its range", async () => {
   const { clock, target } = createTarget();
   target.applyGrant(RANGE, { token: 5, holdMs: 10_000 });
   const running = send(target, 10);
@@ -58,7 +58,7 @@
   assert.equal(getEnding(running), "done");
 });
 
-test("work that outlasts its hold has no effect; a renewal carries it on", async () => {
+test("a request that outlasts its hold lapses; a renewal extends the hold", async () => {
   const { clock, target } = createTarget(500);
   target.applyGrant(RANGE, { token: 5, holdMs: 300 });
   const lapsing = send(target, 1);
@@ -72,7 +72,7 @@
   assert.equal(getEnding(renewed), "done");
 });
 
-test("a fatal request ends its target, with all that it runs", async () => {
+test("a fatal request crashes its target and all its running requests", async () => {
   const clock = new VirtualClock();
   let crashes = 0;
   const target = new FakeTarget({
--- a/packages/ports/src/header_field.ts
+++ b/packages/ports/src/header_field.ts
@@ -1,4 +1,4 @@
-/** One field of a head; names are in lower case. */
+/** An HTTP header field; the name is in lower case. */
 export interface HeaderField {
   readonly name: string;
   readonly value: string;
--- a/packages/ports/src/key_orders.ts
+++ b/packages/ports/src/key_orders.ts
@@ -1,6 +1,6 @@
 /**
- * Orders by which a target gets and loses keys. Keys are numbers from 0 to
- * `LAST_KEY`; a range includes both its ends.
+ * Orders that grant keys to a target or release them. Keys are numbers from 0
+ * to `LAST_KEY`; a range includes both ends.
  */
 
 export const LAST_KEY = 65_535;
@@ -14,7 +14,7 @@
   return left.from <= right.to && left.to >= right.from;
 }
 
-/** What is left of a range once some keys are taken out of it. */
+/** Returns the parts of a range that remain without the taken keys. */
 export function splitRange<Range extends KeyRange>(
   range: Range,
   taken: KeyRange,
@@ -26,21 +26,24 @@
 }
 
 /**
- * The process that an order is meant for; any other refuses it. A later life of
- * it under the same id does not, so orders go out in sessions: behind one there
- * is one life for certain.
+ * The target process that an order is for; a process with another id refuses
+ * it. A later incarnation with the same id cannot tell the difference, so
+ * orders are sent in sessions: a session reaches only one incarnation.
  */
 export interface OrderReceiver {
   readonly id: string;
-  /** `host:port`, by IP number. */
+  /** `host:port`, with an IP address. */
   readonly address: string;
 }
 
 export interface GrantOrder extends KeyRange {
   readonly token: number;
-  /** The target holds the keys for this long from the order's arrival. */
+  /** The target holds the keys for this long after the order arrives. */
   readonly holdMs: number;
-  /** What the last holder gave with its release; spares the keys a slow start. */
+  /**
+   * Handover from the previous holder's release; avoids a slow start of the
+   * keys.
+   */
   readonly handover?: string;
 }
 
@@ -52,23 +55,28 @@
   | { readonly kind: "done"; readonly handover?: string }
   /** The target has seen a higher token on one of the keys. */
   | { readonly kind: "superseded" }
-  /** Another process answers at the address: the one meant has ended. */
+  /** Another process responds at the address: the target process has ended. */
   | { readonly kind: "replaced" }
-  /** No byte of it was sent. */
+  /** No byte of the order was sent. */
   | { readonly kind: "unsent"; readonly message: string }
-  /** No byte of it was sent: another life may stand behind the address. */
+  /**
+   * No byte of the order was sent: another incarnation may be at the address.
+   */
   | { readonly kind: "session-over"; readonly message: string }
-  /** It may be carried out yet. */
+  /** The order may still take effect. */
   | { readonly kind: "unanswered"; readonly message: string };
 
 export interface KeyOrderSender {
-  /** The present session with a target; a grant is sent in one or not at all. */
+  /**
+   * Returns the current session with a target. A grant is sent in its session
+   * or not at all.
+   */
   getSession(to: OrderReceiver): number;
   grant(
     to: OrderReceiver,
     order: GrantOrder,
     session: number,
   ): Promise<OrderOutcome>;
-  /** Answered once the work that was running on these keys has ended. */
+  /** Resolves after the requests that were running on these keys have ended. */
   release(from: OrderReceiver, order: ReleaseOrder): Promise<OrderOutcome>;
 }
--- a/packages/ports/src/request_sender.ts
+++ b/packages/ports/src/request_sender.ts
@@ -1,7 +1,7 @@
-/** How an instance puts a request on a connection to a target, and what comes of it. */
+/** Interface for sending a request to a target, and the possible outcomes. */
 import type { HeaderField } from "./header_field.ts";
 
-/** From here on a status says that the target itself has failed. */
+/** Statuses from this one on mean that the target itself has failed. */
 const FIRST_FAILED_STATUS = 500;
 
 export interface OutgoingRequest {
@@ -9,67 +9,70 @@
   readonly address: string;
   readonly maxConnections: number;
   readonly requestId: string;
-  /** What it is about, where its service is keyed. */
+  /** The request's key, if its service is keyed. */
   readonly key?: number;
   readonly method: string;
   readonly path: string;
-  /** End-to-end fields as the caller sent them. */
+  /** End-to-end header fields as the caller sent them. */
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
-  /** A larger answer is not read to its end. */
+  /** A larger response is not read to its end. */
   readonly maxAnswerBytes?: number;
-  /** How long the caller still waits; the target stops work after it. */
+  /** How long the caller still waits; the target stops working after that. */
   readonly remainingMs: number;
-  /** For this long an answer is waited for. */
+  /** How long to wait for the response. */
   readonly timeoutMs: number;
   /** Whether the request may run more than once. */
   readonly idempotent: boolean;
   readonly signal: AbortSignal;
 }
 
-/** What a target said of its load along with an answer. */
+/** Load that a target reported with a response. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
 }
 
-/** What a target says of itself along with an answer. */
+/** State that a target reported with a response. */
 export interface TargetReport {
   readonly load?: ReportedLoad;
-  /** Requests a second that it takes from all instances together, if it says so. */
+  /**
+   * Requests per second that the target accepts from all instances, if it
+   * reports a limit.
+   */
   readonly limitPerSecond?: number;
 }
 
-/** A target's answer, as it is passed on. */
+/** A target's response, as it is forwarded to the caller. */
 export interface TargetResponse {
   readonly status: number;
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
   /**
-   * Whether the answer said itself where it ends. If not, it ended with its
-   * connection, and nobody can tell whether it is whole: it must not be given a
-   * length on its way.
+   * Whether the response itself marks its end. If not, it ended when the
+   * connection closed and may be incomplete, so it must not be forwarded with a
+   * length.
    */
   readonly isSelfDelimited: boolean;
 }
 
 export type SendOutcome =
-  /** The target's whole answer, to be passed on unchanged. */
+  /** The complete response of the target, to be forwarded unchanged. */
   | (TargetResponse & TargetReport & { readonly kind: "answered" })
-  /** Proved not to have run, and never to run. */
+  /** The request is proved not to have run, and never will. */
   | (TargetReport & {
     readonly kind: "not-run";
     readonly cause: "unreachable" | "full" | "not-owner" | "replaced";
     readonly message: string;
   })
-  /** It may have run. */
+  /** The request may have run. */
   | {
     readonly kind: "unknown";
     readonly cause: "silent" | "reset" | "cut" | "garbled" | "cancelled";
     readonly message: string;
   };
 
-/** Whether a target ran it and did not fail at it. */
+/** Whether the target ran the request without failing. */
 export function isSuccessful(outcome: SendOutcome): boolean {
   return outcome.kind === "answered" && outcome.status < FIRST_FAILED_STATUS;
 }
--- a/packages/ports/src/routing_table.ts
+++ b/packages/ports/src/routing_table.ts
@@ -1,27 +1,27 @@
 /**
- * What operators have configured, and which targets there are: the facts by
- * which an instance routes. An adapter decodes them from wherever they are kept.
+ * The configuration by operators and the known targets, from which an instance
+ * routes requests. Adapters decode them from wherever they are stored.
  */
 
-/** One share of a route's requests. */
+/** A service and its share of a route's requests. */
 export interface RoutePart {
   readonly service: string;
   /** Relative to the weights of the route's other parts. */
   readonly weight: number;
 }
 
-/** Which requests a route takes. */
+/** Which requests a route matches. */
 export type RouteMatch =
   | {
     readonly kind: "prefix";
     readonly host: string;
-    /** Begins and ends with a slash. */
+    /** Starts and ends with a slash. */
     readonly pathPrefix: string;
   }
   | {
     readonly kind: "pattern";
     readonly method: string;
-    /** The path between its slashes; `null` is the segment that is the key. */
+    /** Path segments in order; `null` is the segment that is the key. */
     readonly segments: readonly (string | null)[];
   };
 
@@ -30,76 +30,80 @@
   readonly match: RouteMatch;
   /** Whether a request may run more than once. */
   readonly idempotent: boolean;
-  /** Longest time that a caller is kept waiting. */
+  /** Maximum time that a caller waits for a response. */
   readonly timeoutMs: number;
-  /** An answer within this time is worth the most to the caller. */
+  /** A response within this time is worth the most to the caller. */
   readonly goalMs: number;
-  /** Targets on which one request may run. */
+  /** Maximum number of targets on which one request may run. */
   readonly maxAttempts: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly parts: readonly RoutePart[];
-  /** For a caller that names no deadline. */
+  /** Applies if the caller sets no deadline. */
   readonly defaultDeadlineMs?: number;
-  /** A request waits for a place no longer than this, however long it may take. */
+  /** Maximum time that a request waits for a place, whatever its deadline. */
   readonly maxWaitMs?: number;
-  /** Within what callers may send at all. */
+  /** Applies in addition to the general limit on request bodies. */
   readonly maxBodyBytes?: number;
-  /** A larger answer is not read to its end. */
+  /** A larger response is not read to its end. */
   readonly maxAnswerBytes?: number;
 }
 
 export interface Service {
   readonly name: string;
-  /** Whether its targets own keys, and run only requests for keys they hold. */
+  /** Whether its targets own keys and run only requests for keys they hold. */
   readonly keyed: boolean;
   /** Connections that one target accepts from all callers together. */
   readonly maxConnections: number;
-  /** Second sends as a share of first ones, where it differs from the setting. */
+  /** Retries per first attempt, if different from the general setting. */
   readonly retryRatio?: number;
   /** Requests that may wait for one target, over all instances. */
   readonly maxWaitingPerTarget?: number;
-  /** Requests a second that a cold target takes from all instances together. */
+  /**
+   * Requests per second that a cold target accepts from all instances together.
+   */
   readonly coldPerSecond?: number;
 }
 
-/** What one client account may ask of one service, over all instances. */
+/** Limits of one client account for one service, over all instances. */
 export interface AccountAllowance {
   /** Share of the places under contention, relative to other accounts. */
   readonly weight: number;
   readonly requestsPerSecond: number;
   readonly burst: number;
-  /** Requests in the system at one time, through one instance. */
+  /** Concurrent requests through one instance. */
   readonly maxConcurrent: number;
 }
 
 export interface ClientAccount {
   readonly name: string;
-  /** SHA-256 of each accepted credential, in hex; never the credential. */
+  /**
+   * SHA-256 of each accepted credential in hex; never the credential itself.
+   */
   readonly credentialDigests: readonly string[];
-  /** By service; others are forbidden. */
+  /** By service; services without an entry are forbidden. */
   readonly allowances: ReadonlyMap<string, AccountAllowance>;
 }
 
 /** Who may send requests. */
 export type CallerAccess =
-  /** Whoever reaches an instance. */
+  /** Anyone who can reach an instance. */
   | { readonly kind: "open" }
   | {
     readonly kind: "accounts";
     readonly clientAccounts: readonly ClientAccount[];
   };
 
-/** What callers may send, and how long they may take. */
+/** Limits on requests and on callers' connections. */
 export interface CallerLimits {
   readonly maxBodyBytes: number;
   readonly headTimeoutMs: number;
-  /** A kept connection may be idle for this long. */
+  /** Maximum idle time of a persistent connection. */
   readonly idleTimeoutMs: number;
 }
 
 export interface RoutingTable {
-  /** Grows with each accepted change. */
+  /** Increases with each accepted change. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<string, Service>;
@@ -107,30 +111,31 @@
   readonly access: CallerAccess;
 }
 
-/** One process that runs requests. */
+/** A process that runs requests. */
 export interface RoutingTarget {
-  /** Kept when it starts again. */
+  /** Stays the same after a restart. */
   readonly id: string;
   /**
-   * When this life of it began, in Unix milliseconds by its own clock;
-   * undefined where it does not say. A later life knows nothing of an earlier.
+   * When this incarnation started, in Unix milliseconds by its own clock;
+   * undefined if the target does not report that. A new incarnation keeps no
+   * state of the previous one.
    */
   readonly bornMs?: number;
-  /** Grows with each entry of one life. */
+  /** Increases with each entry of one incarnation. */
   readonly sequence: number;
   readonly service: string;
-  /** `host:port`, by IP number. */
+  /** `host:port`, with an IP address. */
   readonly address: string;
   readonly dataCentre: string;
-  /** Requests that it runs at one time. */
+  /** Maximum number of requests that the target runs at the same time. */
   readonly places: number;
   readonly leaving: boolean;
-  /** How much longer it is slow after its start, as of its last report. */
+  /** Remaining time of its slow start, as of its last report. */
   readonly coldMs: number;
 }
 
-/** A target as an instance knows it. */
+/** A target in an instance's view. */
 export interface KnownTarget extends RoutingTarget {
-  /** Until when it is cold; own clock. */
+  /** When the target stops being cold; this instance's clock. */
   readonly coldUntilMs: number;
 }
--- a/packages/ports/src/seeded_random.ts
+++ b/packages/ports/src/seeded_random.ts
@@ -1,4 +1,4 @@
-/** Random numbers that are the same for the same seed. */
+/** Pseudo-random numbers that are reproducible from a seed. */
 import { uniformFloat32 } from "pure-rand/distribution/uniformFloat32";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { Random } from "./clock.ts";
@@ -14,7 +14,7 @@
     return uniformFloat32(this.#generator);
   }
 
-  /** A whole number from 0 up to, but without, `bound`. */
+  /** Returns an integer from 0 up to, but not including, `bound`. */
   drawIndex(bound: number): number {
     return Math.floor(this.draw() * bound);
   }
--- a/packages/ports/src/store.ts
+++ b/packages/ports/src/store.ts
@@ -1,6 +1,7 @@
 /**
- * A store of keyed records in partitions, with linearizable conditional
- * appends. It keeps the newest record of each key for ever; older ones expire.
+ * Interface of a store of keyed records in partitions, with linearizable
+ * conditional appends. The newest record of each key is kept forever; older
+ * ones expire.
  */
 import type { Result } from "@lentilspur/outcomes/result";
 
@@ -12,24 +13,26 @@
 export interface StoreRecord {
   readonly offset: number;
   readonly key: string;
-  /** Empty where the key was dropped. */
+  /** Empty if the key was deleted. */
   readonly value: string;
 }
 
 export interface StoreReadResult {
   readonly records: readonly StoreRecord[];
-  /** The offset that the next append will get. */
+  /** The offset of the next append. */
   readonly end: number;
 }
 
 export type StoreFailure =
-  /** Nothing was appended: the partition ends somewhere else. */
+  /** Nothing was appended: the partition ends at another offset. */
   | { readonly kind: "conflict"; readonly end: number }
-  /** The records asked for have expired. */
+  /** The requested records have expired. */
   | { readonly kind: "expired" }
-  /** The store did nothing; a later call may succeed. */
+  /** The call had no effect; a later one may succeed. */
   | { readonly kind: "refused"; readonly message: string }
-  /** Nothing is known: the call may have taken effect, or may yet. */
+  /**
+   * The outcome is unknown: the call may have taken effect, or may do so later.
+   */
   | { readonly kind: "unavailable"; readonly message: string };
 
 export interface AppendRequest {
@@ -40,18 +43,20 @@
   readonly at?: number;
 }
 
-/** What whoever reads may watch and end while the answer comes in. */
+/** Lets the reader observe and cancel a read while the response arrives. */
 export interface ReadOptions {
-  /** Told of each part of the answer, in bytes. */
+  /** Called with the size of each received chunk, in bytes. */
   readonly onData?: (bytes: number) => void;
-  /** Ends the call: what still comes would take room on the link. */
+  /**
+   * Cancels the call, so that the rest of the response does not use the link.
+   */
   readonly signal?: AbortSignal;
 }
 
 export interface ReadRequest extends ReadOptions {
   readonly partition: Partition;
   readonly from: number;
-  /** How long the store may hold the call open until there is a record. */
+  /** How long the store may hold the call open until a record arrives. */
   readonly waitMs: number;
 }
 
@@ -59,28 +64,31 @@
   readonly group: string;
   readonly member: string;
   readonly topic: string;
-  /** A member that has been silent for this long loses its partitions. */
+  /** A member that does not join again for this long loses its partitions. */
   readonly ttlMs: number;
-  /** As the last join gave it; 0 at first. */
+  /** The generation that the last join returned; 0 at first. */
   readonly generation: number;
 }
 
 export interface GroupAssignment {
   readonly generation: number;
-  /** Partitions of the topic that fall to this member. */
+  /** Partitions of the topic that are assigned to this member. */
   readonly parts: readonly number[];
 }
 
 export interface Store {
-  /** Gives the offset of the appended record. */
+  /** Returns the offset of the appended record. */
   append(request: AppendRequest): Promise<Result<number, StoreFailure>>;
   read(request: ReadRequest): Promise<Result<StoreReadResult, StoreFailure>>;
-  /** The newest record of each key. */
+  /** Reads the newest record of each key. */
   readNewest(
     partition: Partition,
     options?: ReadOptions,
   ): Promise<Result<StoreReadResult, StoreFailure>>;
-  /** Joins a group of instances that divide partitions, or stays in it. */
+  /**
+   * Joins a group of instances that divide partitions, or renews the
+   * membership.
+   */
   join(request: JoinRequest): Promise<Result<GroupAssignment, StoreFailure>>;
   leave(group: string, member: string): Promise<Result<void, StoreFailure>>;
 }
--- a/packages/ports/src/system_clock.ts
+++ b/packages/ports/src/system_clock.ts
@@ -1,11 +1,11 @@
-/** The clock of a real process. */
+/** The system's monotonic clock. */
 import { performance } from "node:perf_hooks";
 import type { Clock } from "./clock.ts";
 
 /**
- * `performance.now()` reads CLOCK_MONOTONIC, which goes on while a process is
- * stopped by a signal, so a holder that wakes from a pause sees how long it
- * was away.
+ * `performance.now()` reads CLOCK_MONOTONIC, which continues while a process is
+ * stopped by a signal, so a key holder that resumes can measure how long it was
+ * stopped.
  */
 export class SystemClock implements Clock {
   readMs(): number {
--- a/packages/ports/src/tick.ts
+++ b/packages/ports/src/tick.ts
@@ -1,23 +1,27 @@
-/** The moments at which a process does its periodic work. */
+/** Aligns the periodic work of a process to common points in time. */
 import type { Clock } from "./clock.ts";
 
-/** Nearer than this share of the period, the moment after it is meant. */
-const MIN_SHARE = 0.25;
+/** A multiple that is closer than this fraction of the period is skipped. */
+const MIN_FRACTION = 0.25;
 
 /**
- * Sleeps until the next multiple of a period; own clock.
+ * Sleeps until the next multiple of a period; this process's clock.
  *
- * Load pattern: an instance at rest among 76 woke up 75 times a second for eight
- * loops with periods of 50 to 500 ms, each at moments of its own, and a wake-up
- * costs some 0.1 ms. Loops that wake at multiples of their periods wake together.
- * A timer may fire a little early: the same moment is not waited for twice.
+ * Load pattern: an idle instance among 76 woke up 75 times a second for eight
+ * loops with periods of 50 to 500 ms, each at its own times, and a wake-up
+ * costs about 0.1 ms. Loops that wake at multiples of their periods wake
+ * together. A timer may fire slightly early, so a multiple that is too close is
+ * skipped.
  */
 export function sleepUntilTick(
   clock: Clock,
   periodMs: number,
   signal?: AbortSignal,
 ): Promise<void> {
-  const leftMs = periodMs - clock.readMs() % periodMs;
-  const isNear = leftMs < MIN_SHARE * periodMs;
-  return clock.sleep(Math.ceil(isNear ? leftMs + periodMs : leftMs), signal);
+  const untilTickMs = periodMs - clock.readMs() % periodMs;
+  const isNear = untilTickMs < MIN_FRACTION * periodMs;
+  return clock.sleep(
+    Math.ceil(isNear ? untilTickMs + periodMs : untilTickMs),
+    signal,
+  );
 }
--- a/packages/ports/src/tick_test.ts
+++ b/packages/ports/src/tick_test.ts
@@ -4,8 +4,8 @@
 import { sleepUntilTick } from "./tick.ts";
 import { VirtualClock } from "./virtual_clock.ts";
 
-test("loops that began at different moments wake together", async () => {
-  // Guards against a process at rest that wakes up for each of its loops.
+test("loops that start at different times wake together", async () => {
+  // Guards against separate wake-ups of an idle process for each of its loops.
   const clock = new VirtualClock();
   const wokenAtMs = new Set<number>();
   const run = async (startMs: number, periodMs: number): Promise<void> => {
@@ -25,7 +25,8 @@
 });
 
 test("a timer that fires early does not wake a loop twice", async () => {
-  // Guards against a second wake-up: a timer counts from the start of its turn.
+  // Guards against a second wake-up: a timer counts from the start of its event
+  // loop turn, so it may fire early.
   let sleptMs = 0;
   const clock: Clock = {
     readMs: () => 99.2,
--- a/packages/ports/src/virtual_clock.ts
+++ b/packages/ports/src/virtual_clock.ts
@@ -1,7 +1,7 @@
 /**
- * A clock that stands until it is advanced. Sleepers wake in the order of
- * their times; between two of them, everything that became ready runs first,
- * so a run is the same every time.
+ * A clock that advances only on demand. Sleepers wake in the order of their
+ * times; between two of them, all ready work runs first, so every run is the
+ * same.
  */
 import type { Clock } from "./clock.ts";
 
@@ -11,8 +11,8 @@
   readonly wake: () => void;
 }
 
-/** Rounds of the event loop that let ready continuations finish. */
-const SETTLING_ROUNDS = 3;
+/** Event loop rounds after which ready continuations have finished. */
+const EVENT_LOOP_ROUNDS = 3;
 
 export class VirtualClock implements Clock {
   #now = 0;
@@ -40,10 +40,10 @@
     });
   }
 
-  /** Moves time on by `ms`, waking every sleeper on the way. */
+  /** Advances time by `ms` and wakes every sleeper that is due. */
   async advance(ms: number): Promise<void> {
     const end = this.#now + ms;
-    await this.#settle();
+    await this.#runReady();
     for (;;) {
       const next = this.#takeNextSleeper(end);
       if (next === undefined) {
@@ -51,7 +51,7 @@
       }
       this.#now = Math.max(this.#now, next.at);
       next.wake();
-      await this.#settle();
+      await this.#runReady();
     }
     this.#now = end;
   }
@@ -79,8 +79,8 @@
     }
   }
 
-  async #settle(): Promise<void> {
-    for (let round = 0; round < SETTLING_ROUNDS; round++) {
+  async #runReady(): Promise<void> {
+    for (let round = 0; round < EVENT_LOOP_ROUNDS; round++) {
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
--- a/packages/ports/src/window_count.ts
+++ b/packages/ports/src/window_count.ts
@@ -1,6 +1,8 @@
-/** Counts of events in a window that slides. */
+/** Counts events in a sliding window. */
 
-/** The most of these times that lie in any window of this length. */
+/**
+ * Returns the largest number of the given times in any window of this length.
+ */
 export function countMaxInWindow(
   times: readonly number[],
   windowMs: number,
--- a/packages/routing/src/account_limiter.ts
+++ b/packages/routing/src/account_limiter.ts
@@ -1,32 +1,33 @@
 /**
- * What one instance lets in for a client account and service: a token bucket
- * and a bound on requests in the system.
+ * Admission control per client account and service at one instance: a token
+ * bucket for the rate and a bound on concurrent requests.
  *
- * Load pattern: one client account sends twenty times what was agreed. Without
- * this limit its requests cost parsing, forwarding and a queue decision each,
+ * Load pattern: one client account sends 20 times its agreed rate. Without this
+ * limit, each excess request costs parsing, forwarding and a queueing decision,
  * on every instance and every target.
  *
- * The declared rate is for the whole system, behind a balancer. Each instance
- * refills at its share of the rate: an equal one, until peers' demand is known
- * (`applyPeerDemand`), then the max-min fair one, so that a caller that stays
- * on one connection gets its whole rate there. The shares never add up to more
- * than the declared rate while the instances' figures agree.
+ * The declared rate applies to the whole deployment, which is behind a load
+ * balancer. Each instance refills its bucket with a share of the rate: an equal
+ * share until the peers' demand is known (`setPeerDemands`), then a max-min
+ * fair share, so that a caller that stays on one connection gets its whole rate
+ * there. While the instances' demand figures agree, the shares never add up to
+ * more than the declared rate.
  */
 import type { AccountAllowance } from "@lentilspur/ports/routing_table";
 
-/** Buckets kept; the one that was used longest ago is forgotten first. */
+/** Maximum number of buckets; the least recently used one is evicted. */
 const MAX_BUCKETS = 4_096;
-/** Time over which an instance's own demand is averaged. */
+/** Time constant of the moving average of an instance's own demand. */
 const DEMAND_WINDOW_MS = 1_000;
-/** A peer's figure that is older than this counts as unknown. */
+/** Peer demand older than this is treated as unknown. */
 const DEMAND_MAX_AGE_MS = 5_000;
-/** What a caller is told when only a place in the system is missing. */
+/** Retry-After of a request that is refused by the concurrency limit. */
 const CONCURRENCY_RETRY_MS = 50;
 
-/** Offers a second below which an instance counts as seeing none. */
+/** Demand below this many requests per second counts as none. */
 const MIN_DEMAND = 0.1;
 
-/** What one instance sees of one account's traffic to one service. */
+/** Demand of one account for one service, as one instance receives it. */
 export interface InstanceDemand {
   readonly clientAccount: string;
   readonly service: string;
@@ -37,7 +38,7 @@
   | { readonly kind: "admitted" }
   | {
     readonly kind: "refused";
-    /** The limit that is reached, for people. */
+    /** The limit that was reached, as text for operators and callers. */
     readonly limit: string;
     readonly retryAfterMs: number;
   };
@@ -46,9 +47,11 @@
   tokens: number;
   updatedAtMs: number;
   concurrent: number;
-  /** Offers a second, averaged. */
+  /** Requests per second, admitted or not; moving average. */
   demand: number;
-  /** Offers a second at each other instance; null while unknown. */
+  /**
+   * Demand at each other instance, in requests per second; null while unknown.
+   */
   peerDemands: readonly number[] | null;
   peersKnownAtMs: number;
 }
@@ -61,7 +64,7 @@
     this.#instanceCount = Math.max(1, options.instanceCount);
   }
 
-  /** Follows the number of live instances, as far as it is heard of. */
+  /** Sets the number of live instances, from which the equal share is computed. */
   setInstanceCount(count: number): void {
     this.#instanceCount = Math.max(1, count);
   }
@@ -72,7 +75,7 @@
     allowance: AccountAllowance,
     nowMs: number,
   ): AdmissionDecision {
-    const bucket = this.#claimBucket(account, service, allowance, nowMs);
+    const bucket = this.#getBucket(account, service, allowance, nowMs);
     const rate = this.#computeRate(bucket, allowance, nowMs);
     addTokens(bucket, { rate, burst: allowance.burst, nowMs });
     if (bucket.concurrent >= allowance.maxConcurrent) {
@@ -92,39 +95,39 @@
     return { kind: "admitted" };
   }
 
-  /** Called once for each admitted request, when it has been answered. */
+  /** Must be called once for each admitted request, after its response. */
   release(account: string, service: string): void {
-    const bucket = this.#buckets.get(formatName(account, service));
+    const bucket = this.#buckets.get(formatBucketKey(account, service));
     if (bucket !== undefined && bucket.concurrent > 0) {
       bucket.concurrent--;
     }
   }
 
-  /** Takes in what the other instances see, in offers a second each. */
+  /** Sets the demand at each other instance, in requests per second. */
   setPeerDemands(
     account: string,
     service: string,
     peerDemands: readonly number[],
     nowMs: number,
   ): void {
-    const bucket = this.#buckets.get(formatName(account, service));
+    const bucket = this.#buckets.get(formatBucketKey(account, service));
     if (bucket !== undefined) {
       bucket.peerDemands = peerDemands;
       bucket.peersKnownAtMs = nowMs;
     }
   }
 
-  /** Offers a second that this instance sees, for its peers. */
+  /** Demand at this instance in requests per second, for reports to peers. */
   getDemand(account: string, service: string, nowMs: number): number {
-    const bucket = this.#buckets.get(formatName(account, service));
+    const bucket = this.#buckets.get(formatBucketKey(account, service));
     return bucket === undefined ? 0 : computeDemand(bucket, nowMs);
   }
 
-  /** Every account and service with offers of late. */
+  /** Lists each account and service with recent demand. */
   listDemands(nowMs: number): readonly InstanceDemand[] {
     return [...this.#buckets]
-      .map(([name, bucket]) => ({
-        ...splitName(name),
+      .map(([key, bucket]) => ({
+        ...parseBucketKey(key),
         perSecond: computeDemand(bucket, nowMs),
       }))
       .filter(({ perSecond }) => perSecond >= MIN_DEMAND);
@@ -136,21 +139,21 @@
     nowMs: number,
   ): number {
     const { requestsPerSecond } = allowance;
-    const known = nowMs - bucket.peersKnownAtMs <= DEMAND_MAX_AGE_MS;
-    if (bucket.peerDemands === null || !known) {
+    const isFresh = nowMs - bucket.peersKnownAtMs <= DEMAND_MAX_AGE_MS;
+    if (bucket.peerDemands === null || !isFresh) {
       return requestsPerSecond / this.#instanceCount;
     }
     return computeMaxMinShare(bucket.peerDemands, requestsPerSecond);
   }
 
-  #claimBucket(
+  #getBucket(
     account: string,
     service: string,
     allowance: AccountAllowance,
     nowMs: number,
   ): Bucket {
-    const name = formatName(account, service);
-    const bucket = this.#buckets.get(name) ?? {
+    const key = formatBucketKey(account, service);
+    const bucket = this.#buckets.get(key) ?? {
       tokens: allowance.burst,
       updatedAtMs: nowMs,
       concurrent: 0,
@@ -158,8 +161,8 @@
       peerDemands: null,
       peersKnownAtMs: -Infinity,
     };
-    this.#buckets.delete(name);
-    this.#buckets.set(name, bucket);
+    this.#buckets.delete(key);
+    this.#buckets.set(key, bucket);
     if (this.#buckets.size > MAX_BUCKETS) {
       this.#buckets.delete(this.#buckets.keys().next().value!);
     }
@@ -168,8 +171,8 @@
 }
 
 /**
- * The share that is left to this instance when each peer gets what it asks
- * for, but none more than an equal part of what the smaller ones leave.
+ * Computes this instance's max-min fair share of `total`: each peer gets its
+ * demand, but at most an equal share of what the smaller demands leave.
  */
 export function computeMaxMinShare(
   peerDemands: readonly number[],
@@ -197,10 +200,10 @@
   },
 ): void {
   const elapsedMs = Math.max(0, options.nowMs - bucket.updatedAtMs);
-  const earned = elapsedMs * options.rate / 1_000;
-  bucket.tokens = Math.min(options.burst, bucket.tokens + earned);
-  const kept = Math.exp(-elapsedMs / DEMAND_WINDOW_MS);
-  bucket.demand = bucket.demand * kept + 1_000 / DEMAND_WINDOW_MS;
+  const refill = elapsedMs * options.rate / 1_000;
+  bucket.tokens = Math.min(options.burst, bucket.tokens + refill);
+  const decay = Math.exp(-elapsedMs / DEMAND_WINDOW_MS);
+  bucket.demand = bucket.demand * decay + 1_000 / DEMAND_WINDOW_MS;
   bucket.updatedAtMs = options.nowMs;
 }
 
@@ -208,19 +211,19 @@
   return { kind: "refused", limit, retryAfterMs };
 }
 
-function formatName(account: string, service: string): string {
+function formatBucketKey(account: string, service: string): string {
   return `${service}\n${account}`;
 }
 
-/** Decays since the last offer: an account that has gone asks for nothing. */
+/** Demand decays after the last request, down to none for an idle account. */
 function computeDemand(bucket: Bucket, nowMs: number): number {
   const elapsedMs = Math.max(0, nowMs - bucket.updatedAtMs);
   return bucket.demand * Math.exp(-elapsedMs / DEMAND_WINDOW_MS);
 }
 
-function splitName(
-  name: string,
+function parseBucketKey(
+  key: string,
 ): { readonly clientAccount: string; readonly service: string } {
-  const [service = "", clientAccount = ""] = name.split("\n");
+  const [service = "", clientAccount = ""] = key.split("\n");
   return { clientAccount, service };
 }
--- a/packages/routing/src/account_limiter_test.ts
+++ b/packages/routing/src/account_limiter_test.ts
@@ -9,7 +9,7 @@
   maxConcurrent: 1_000,
 };
 
-/** Admitted requests of `seconds`, with `perSecond` offered evenly. */
+/** Counts admitted requests when `perSecond` arrive evenly for `seconds`. */
 function countAdmitted(
   limiter: AccountLimiter,
   perSecond: number,
@@ -24,17 +24,17 @@
   return admitted;
 }
 
-// The rate is for the whole system. Were each of twelve instances to allow all
-// of it, an account would get twelve times what was agreed.
-test("an instance allows its part of the rate, and the burst once", () => {
+// The rate applies to the whole deployment. If each of 12 instances allowed all
+// of it, an account would get 12 times its agreed rate.
+test("an instance allows its share of the rate, and the burst once", () => {
   const limiter = new AccountLimiter({ instanceCount: 12 });
   const admitted = countAdmitted(limiter, 100, 10);
   assert.ok(admitted >= 105 && admitted <= 111, `${admitted} admitted`);
 });
 
-// A caller keeps one connection, so all it sends reaches one instance. Held to
-// a twelfth of its rate there, it would be refused well within its limits.
-test("what the other instances do not use is allowed here", () => {
+// A caller that keeps one connection sends everything to one instance. A fixed
+// twelfth of the rate there would refuse requests within its limit.
+test("an instance allows the part of the rate that other instances do not use", () => {
   const limiter = new AccountLimiter({ instanceCount: 12 });
   limiter.admit("nile", "case-files", PARAMETERS, 0);
   const idlePeers = Array.from({ length: 11 }, () => 1);
@@ -43,14 +43,14 @@
   assert.ok(admitted > 0.8 * 109 * 4, `${admitted} admitted`);
 });
 
-test("shares are max-min fair and never add up to more than the whole", () => {
+test("shares are max-min fair and never add up to more than the total", () => {
   assert.equal(computeMaxMinShare([], 100), 100);
   assert.equal(computeMaxMinShare([10, 20], 100), 70);
   assert.equal(computeMaxMinShare([80, 80, 80], 100), 25);
   assert.equal(computeMaxMinShare([10, 80], 100), 45);
 });
 
-test("a refused caller is told when the next request is due", () => {
+test("a refusal gives the time until a request is admitted again", () => {
   const limiter = new AccountLimiter({ instanceCount: 1 });
   for (let index = 0; index < PARAMETERS.burst; index++) {
     limiter.admit("nile", "case-files", PARAMETERS, 0);
@@ -66,11 +66,11 @@
   assert.equal(later.kind, "admitted");
 });
 
-test("requests in the system are bounded, and released ones make room", () => {
+test("concurrent requests are bounded, and a released one makes room", () => {
   const limiter = new AccountLimiter({ instanceCount: 1 });
   const parameters = { ...PARAMETERS, maxConcurrent: 1 };
-  const offer = () => limiter.admit("nile", "case-files", parameters, 0).kind;
-  assert.deepEqual([offer(), offer()], ["admitted", "refused"]);
+  const admit = () => limiter.admit("nile", "case-files", parameters, 0).kind;
+  assert.deepEqual([admit(), admit()], ["admitted", "refused"]);
   limiter.release("nile", "case-files");
-  assert.equal(offer(), "admitted");
+  assert.equal(admit(), "admitted");
 });
--- a/packages/routing/src/crash_suspects.ts
+++ b/packages/routing/src/crash_suspects.ts
@@ -1,36 +1,42 @@
 /**
- * Requests under which targets have crashed, and which of them are sent to no
- * target for a while.
+ * Tracks requests that were running on targets when those crashed, and
+ * quarantines the ones that crash targets repeatedly.
  *
- * Failure: a request crashes whoever runs it, and its caller sends it again and
- * again, each time under a new id and through another instance. Limits of one
- * attempt or of one instance never see it. So crashes are counted by request,
- * over all instances: what one observes is merged by all.
+ * Failure: a request crashes every target that runs it, and its caller keeps
+ * sending it again, each time with a new id and through another instance.
+ * Limits per attempt or per instance don't catch this. So crashes are counted
+ * by request fingerprint over all instances: each instance merges what the
+ * others observe.
  *
- * An innocent request may have been at work at a target that crashed. One answer
- * clears it, wherever it came from; and a request in quarantine is tried once
- * when the quarantine is over.
+ * An innocent request may have been running on a target that crashed. One
+ * successful response at any instance clears it. When the quarantine ends, the
+ * request is sent once as a trial.
  */
 
-/** What instances tell each other of one request; ages in milliseconds. */
+/**
+ * What instances report to each other about one request; ages in milliseconds.
+ */
 export interface SuspectReport {
   readonly fingerprint: string;
-  /** Of each target that crashed: a name of that life of it, and how long ago. */
+  /**
+   * For each crash: the name of the target's incarnation, and the age of the
+   * crash.
+   */
   readonly crashes: readonly (readonly [
-    life: string,
+    incarnation: string,
     ageMs: number,
-    /** Since the request was sent to it. */
+    /** Time since the request was sent to that target. */
     sentAgeMs: number,
   ])[];
-  /** Since its last answer; null where there was none. */
+  /** Time since the last response that cleared the request; null if none. */
   readonly clearedAgeMs: number | null;
-  /** Since it was last tried in spite of its crashes. */
+  /** Time since its last trial; null if none. */
   readonly trialAgeMs: number | null;
 }
 
 export type SuspectDecision =
   | { readonly kind: "admitted" }
-  /** Sent once, to see whether it still crashes its target. */
+  /** Sent once, to find out whether the request still crashes its target. */
   | { readonly kind: "trial" }
   | {
     readonly kind: "quarantined";
@@ -38,50 +44,59 @@
     readonly retryAfterMs: number;
   };
 
-/** A send that broke with its target; own clock. */
+/** A send whose target process ended; this instance's clock. */
 export interface Crash {
   readonly sentAtMs: number;
   readonly atMs: number;
 }
 
 interface Suspect {
-  /** By life of a target. */
+  /** By target incarnation. */
   readonly crashes: Map<string, Crash>;
   clearedAtMs: number;
   trialAtMs: number;
 }
 
-/** Crashes that put a request into quarantine; fewer may be chance. */
-const MAX_CRASHES = 3;
+/** Crashes that put a request into quarantine; fewer may be a coincidence. */
+const CRASHES_TO_QUARANTINE = 3;
+/**
+ * Duration of the quarantine after the third crash and after the fourth. After
+ * the fifth crash it lasts until the crashes are forgotten.
+ */
+const QUARANTINE_DURATIONS_MS = [30_000, 600_000] as const;
 /**
- * How long a quarantine lasts after the third crash and after the fourth. After
- * the fifth it lasts until the crashes are forgotten.
+ * Time after which a trial without a crash has shown that its target survives.
  */
-const QUARANTINES_MS = [30_000, 600_000] as const;
-/** A trial has shown by now whether its target survives. */
 const TRIAL_MS = 6_000;
-/** A request that has crashed nothing for this long starts anew. */
-const FORGET_MS = 24 * 3_600_000;
-/** Older reports of crashes are still on their way for less than this. */
-const CLEARED_KEPT_MS = 60_000;
+/** A request without a crash for this long is forgotten. */
+const CRASH_RETENTION_MS = 24 * 3_600_000;
+/**
+ * How long a cleared request is remembered: older crash reports may still be in
+ * flight, but for less than this.
+ */
+const CLEARED_RETENTION_MS = 60_000;
 const MAX_SUSPECTS = 1_024;
 /**
- * What was sent to a target later than this after it had ended has not ended it.
- * Times from other instances are late by as long as their datagrams took.
+ * A request that was sent to a target more than this after the target ended has
+ * not ended it. Times from other instances are late by the latency of their
+ * datagrams.
  */
 const LATE_SEND_MS = 100;
-const MAX_LIVES = 1_024;
-/** More of them change no decision. */
+const MAX_INCARNATIONS = 1_024;
+/** Further crashes change no decision. */
 const MAX_KEPT_CRASHES = 5;
-/** Reports that are told again and again: one or two datagrams each second. */
+/** Reports that are repeated periodically: one or two datagrams each second. */
 const MAX_REPORTS = 12;
 
 export class CrashSuspects {
   readonly #suspects = new Map<string, Suspect>();
-  /** When each life of a target ended: when the first send to it broke. */
+  /**
+   * When each target incarnation ended: the time of the first send to it that
+   * failed.
+   */
   readonly #endedAtMs = new Map<string, number>();
 
-  /** Whether there is no suspect at all, which saves callers the fingerprint. */
+  /** Whether there are no suspects, so that callers need no fingerprint. */
   get isEmpty(): boolean {
     return this.#suspects.size === 0;
   }
@@ -91,14 +106,17 @@
       .filter((suspect) => this.#isQuarantined(suspect)).length;
   }
 
-  /** False where that crash is known, or an answer has come since. */
-  recordCrash(fingerprint: string, life: string, crash: Crash): boolean {
-    this.#recordEnd(life, crash.atMs);
-    const { crashes, clearedAtMs } = this.#claim(fingerprint);
-    const known = crashes.get(life);
+  /**
+   * Returns false if the crash is known already or a response has cleared the
+   * request since.
+   */
+  recordCrash(fingerprint: string, incarnation: string, crash: Crash): boolean {
+    this.#recordEnd(incarnation, crash.atMs);
+    const { crashes, clearedAtMs } = this.#getSuspect(fingerprint);
+    const known = crashes.get(incarnation);
     if (known !== undefined) {
-      // The report that was the shortest time on its way is the nearest.
-      crashes.set(life, {
+      // The report with the shortest latency has the most accurate times.
+      crashes.set(incarnation, {
         sentAtMs: Math.min(known.sentAtMs, crash.sentAtMs),
         atMs: Math.min(known.atMs, crash.atMs),
       });
@@ -107,11 +125,11 @@
     if (crash.atMs <= clearedAtMs || crashes.size >= MAX_KEPT_CRASHES) {
       return false;
     }
-    crashes.set(life, crash);
+    crashes.set(incarnation, crash);
     return true;
   }
 
-  /** The request has been answered. Gives how many crashes that clears. */
+  /** Clears the request's crashes after a response and returns their number. */
   recordAnswered(fingerprint: string, nowMs: number): number {
     const suspect = this.#suspects.get(fingerprint);
     const crashes = suspect?.crashes.size ?? 0;
@@ -127,7 +145,10 @@
     return suspect !== undefined && this.#isQuarantined(suspect);
   }
 
-  /** Whether a request may be sent now; marks the trial that it allows. */
+  /**
+   * Decides whether a request may be sent now, and records the start of a trial
+   * that it allows.
+   */
   admit(fingerprint: string, nowMs: number): SuspectDecision {
     const suspect = this.#suspects.get(fingerprint);
     if (suspect === undefined || !this.#isQuarantined(suspect)) {
@@ -146,23 +167,25 @@
     return { kind: "quarantined", crashes: crashes.length, retryAfterMs };
   }
 
-  /** Takes over what another instance knows; true where it was news. */
+  /**
+   * Merges a report from another instance; returns whether it added anything.
+   */
   merge(report: SuspectReport, nowMs: number): boolean {
     const { fingerprint, crashes, clearedAgeMs, trialAgeMs } = report;
-    const suspect = this.#claim(fingerprint);
-    let isNews = false;
+    const suspect = this.#getSuspect(fingerprint);
+    let isChange = false;
     const clearedAtMs = toTime(clearedAgeMs, nowMs);
     if (clearedAtMs > suspect.clearedAtMs) {
-      isNews = removeUntil(suspect.crashes, clearedAtMs);
+      isChange = removeUntil(suspect.crashes, clearedAtMs);
       suspect.clearedAtMs = clearedAtMs;
     }
     suspect.trialAtMs = Math.max(suspect.trialAtMs, toTime(trialAgeMs, nowMs));
-    for (const [life, ageMs, sentAgeMs] of crashes) {
+    for (const [incarnation, ageMs, sentAgeMs] of crashes) {
       const crash = { sentAtMs: nowMs - sentAgeMs, atMs: nowMs - ageMs };
-      const isNew = this.recordCrash(fingerprint, life, crash);
-      isNews ||= isNew;
+      const isNew = this.recordCrash(fingerprint, incarnation, crash);
+      isChange ||= isNew;
     }
-    return isNews;
+    return isChange;
   }
 
   describe(fingerprint: string, nowMs: number): SuspectReport | undefined {
@@ -172,7 +195,10 @@
       : createReport(fingerprint, suspect, nowMs);
   }
 
-  /** What an instance that has just started has to know, the newest first. */
+  /**
+   * Lists the most recent reports that an instance needs after its start: those
+   * of quarantined and of cleared requests.
+   */
   listReports(nowMs: number): readonly SuspectReport[] {
     return [...this.#suspects]
       .filter(([, suspect]) =>
@@ -184,12 +210,15 @@
       );
   }
 
-  /** Forgets what is over. */
+  /**
+   * Removes suspects whose crashes are too old, and cleared requests that need
+   * no longer be remembered.
+   */
   expire(nowMs: number): void {
     for (const [fingerprint, { crashes, clearedAtMs }] of this.#suspects) {
       const isOver = crashes.size === 0
-        ? nowMs - clearedAtMs > CLEARED_KEPT_MS
-        : nowMs - findLast([...crashes.values()]) > FORGET_MS;
+        ? nowMs - clearedAtMs > CLEARED_RETENTION_MS
+        : nowMs - findLastCrashMs([...crashes.values()]) > CRASH_RETENTION_MS;
       if (isOver) {
         this.#suspects.delete(fingerprint);
       }
@@ -197,29 +226,33 @@
   }
 
   #isQuarantined(suspect: Suspect): boolean {
-    return this.#listCrashes(suspect).length >= MAX_CRASHES;
+    return this.#listCrashes(suspect).length >= CRASHES_TO_QUARANTINE;
   }
 
-  /** Those that the request may have brought about. */
+  /** Lists the crashes that the request may have caused. */
   #listCrashes({ crashes }: Suspect): readonly Crash[] {
     return [...crashes]
-      .filter(([life, { sentAtMs }]) =>
-        sentAtMs <= (this.#endedAtMs.get(life) ?? Infinity) + LATE_SEND_MS
+      .filter(([incarnation, { sentAtMs }]) =>
+        sentAtMs <=
+          (this.#endedAtMs.get(incarnation) ?? Infinity) + LATE_SEND_MS
       )
       .map(([, crash]) => crash);
   }
 
-  #recordEnd(life: string, atMs: number): void {
-    const known = this.#endedAtMs.get(life) ?? Infinity;
-    this.#endedAtMs.delete(life);
-    this.#endedAtMs.set(life, Math.min(known, atMs));
-    if (this.#endedAtMs.size > MAX_LIVES) {
+  #recordEnd(incarnation: string, atMs: number): void {
+    const known = this.#endedAtMs.get(incarnation) ?? Infinity;
+    this.#endedAtMs.delete(incarnation);
+    this.#endedAtMs.set(incarnation, Math.min(known, atMs));
+    if (this.#endedAtMs.size > MAX_INCARNATIONS) {
       this.#endedAtMs.delete(this.#endedAtMs.keys().next().value!);
     }
   }
 
-  /** A flood of suspects pushes out those with the fewest crashes. */
-  #claim(fingerprint: string): Suspect {
+  /**
+   * Gets or creates a suspect. When the table is full, evicts the one with the
+   * fewest crashes.
+   */
+  #getSuspect(fingerprint: string): Suspect {
     const suspect = this.#suspects.get(fingerprint) ?? {
       crashes: new Map<string, Crash>(),
       clearedAtMs: -Infinity,
@@ -227,31 +260,33 @@
     };
     this.#suspects.delete(fingerprint);
     if (this.#suspects.size >= MAX_SUSPECTS) {
-      this.#suspects.delete(this.#findLeast());
+      this.#suspects.delete(this.#findEvictionCandidate());
     }
     this.#suspects.set(fingerprint, suspect);
     return suspect;
   }
 
-  #findLeast(): string {
-    let least = "";
+  #findEvictionCandidate(): string {
+    let candidate = "";
     let fewest = Infinity;
     for (const [fingerprint, { crashes }] of this.#suspects) {
       if (crashes.size < fewest) {
-        least = fingerprint;
+        candidate = fingerprint;
         fewest = crashes.size;
       }
     }
-    return least;
+    return candidate;
   }
 }
 
 function computeQuarantineEnd(crashes: readonly Crash[]): number {
-  const lengthMs = QUARANTINES_MS[crashes.length - MAX_CRASHES] ?? FORGET_MS;
-  return findLast(crashes) + lengthMs;
+  const durationMs =
+    QUARANTINE_DURATIONS_MS[crashes.length - CRASHES_TO_QUARANTINE] ??
+      CRASH_RETENTION_MS;
+  return findLastCrashMs(crashes) + durationMs;
 }
 
-function findLast(crashes: readonly Crash[]): number {
+function findLastCrashMs(crashes: readonly Crash[]): number {
   return Math.max(...crashes.map(({ atMs }) => atMs));
 }
 
@@ -262,8 +297,8 @@
 ): SuspectReport {
   return {
     fingerprint,
-    crashes: [...crashes].map(([life, { sentAtMs, atMs }]) => [
-      life,
+    crashes: [...crashes].map(([incarnation, { sentAtMs, atMs }]) => [
+      incarnation,
       Math.floor(nowMs - atMs),
       Math.floor(nowMs - sentAtMs),
     ]),
@@ -280,12 +315,12 @@
   return ageMs === null ? -Infinity : nowMs - ageMs;
 }
 
-/** True where any was removed. */
+/** Returns whether any crash was removed. */
 function removeUntil(crashes: Map<string, Crash>, untilMs: number): boolean {
   const before = crashes.size;
-  for (const [life, { atMs }] of crashes) {
+  for (const [incarnation, { atMs }] of crashes) {
     if (atMs <= untilMs) {
-      crashes.delete(life);
+      crashes.delete(incarnation);
     }
   }
   return crashes.size < before;
--- a/packages/routing/src/crash_suspects_test.ts
+++ b/packages/routing/src/crash_suspects_test.ts
@@ -12,7 +12,7 @@
 const DAY_MS = 24 * 60 * MINUTE_MS;
 const FLOOD = 5_000;
 
-/** Its target ended at this time, some work after the request was sent. */
+/** A crash at `atMs` of a target that had received the request 30 ms before. */
 function createCrash(atMs: number): Crash {
   return { sentAtMs: atMs - 30, atMs };
 }
@@ -25,24 +25,28 @@
   for (let nth = 0; nth < count; nth++) {
     suspects.recordCrash(
       FATAL,
-      `life ${fromMs} ${nth}`,
+      `incarnation ${fromMs} ${nth}`,
       createCrash(fromMs + nth),
     );
   }
 }
 
-test("two crashes may be chance, the third puts a request into quarantine", () => {
+test("two crashes may be a coincidence, the third quarantines a request", () => {
   const suspects = new CrashSuspects();
   recordCrashes(suspects, 2);
   assert.equal(suspects.admit(FATAL, 10).kind, "admitted");
-  suspects.recordCrash(FATAL, "life 0 0", createCrash(5));
-  assert.equal(suspects.admit(FATAL, 10).kind, "admitted", "told twice");
+  suspects.recordCrash(FATAL, "incarnation 0 0", createCrash(5));
+  assert.equal(
+    suspects.admit(FATAL, 10).kind,
+    "admitted",
+    "the same crash reported twice",
+  );
   recordCrashes(suspects, 3);
   assert.equal(suspects.admit(FATAL, 10).kind, "quarantined");
   assert.equal(suspects.admit("another", 10).kind, "admitted");
 });
 
-test("a request that keeps crashing is tried three times at most in a day", () => {
+test("a request that keeps crashing targets gets at most three trials a day", () => {
   const suspects = new CrashSuspects();
   recordCrashes(suspects, 3);
   let trials = 0;
@@ -52,13 +56,13 @@
     assert.notEqual(kind, "admitted");
     if (kind === "trial") {
       trials++;
-      suspects.recordCrash(FATAL, `life ${nowMs}`, createCrash(nowMs));
+      suspects.recordCrash(FATAL, `incarnation ${nowMs}`, createCrash(nowMs));
     }
   }
   assert.ok(trials <= 3, `${trials} trials`);
 });
 
-test("a trial that came to nothing is made again", () => {
+test("a trial without a result is repeated", () => {
   const suspects = new CrashSuspects();
   recordCrashes(suspects, 3);
   assert.equal(suspects.admit(FATAL, 2 * MINUTE_MS).kind, "trial");
@@ -66,7 +70,7 @@
   assert.equal(suspects.admit(FATAL, 3 * MINUTE_MS).kind, "trial");
 });
 
-test("an answer clears a request, and old reports do not bring it back", () => {
+test("a response clears a request, and older reports do not restore its crashes", () => {
   const suspects = new CrashSuspects();
   recordCrashes(suspects, 3);
   const old = suspects.describe(FATAL, 100)!;
@@ -84,20 +88,20 @@
   assert.ok(suspects.isEmpty);
 });
 
-test("a flood of suspects is bounded and hides none in quarantine", () => {
+test("the number of suspects is bounded, and quarantined requests are kept", () => {
   const suspects = new CrashSuspects();
   recordCrashes(suspects, 3);
   for (let nth = 0; nth < FLOOD; nth++) {
-    suspects.recordCrash(`flood ${nth}`, "life", createCrash(1));
+    suspects.recordCrash(`flood ${nth}`, "incarnation", createCrash(1));
   }
   assert.ok(suspects.isQuarantined(FATAL));
   assert.ok(suspects.listReports(10).length <= 12);
 });
 
-test("instances agree whatever the order in which they hear of crashes", () => {
+test("instances agree whatever the order in which they receive crash reports", () => {
   const report: fc.Arbitrary<SuspectReport> = fc.record({
     fingerprint: fc.constant(FATAL),
-    // A life of a target ends once.
+    // An incarnation of a target ends only once.
     crashes: fc.subarray<[string, number, number]>([
       ["a", 2, 3],
       ["b", 4, 5],
@@ -115,26 +119,26 @@
   );
   fc.assert(
     fc.property(reports, ([left, right]) => {
-      const lives = [left, right].map((list) => {
+      const incarnations = [left, right].map((list) => {
         const suspects = new CrashSuspects();
         list.forEach((one) => suspects.merge(one, 100));
         return (suspects.describe(FATAL, 100)?.crashes ?? [])
-          .map(([life]) => life).toSorted();
+          .map(([incarnation]) => incarnation).toSorted();
       });
-      assert.deepEqual(lives[0], lives[1]);
+      assert.deepEqual(incarnations[0], incarnations[1]);
     }),
     { seed: 28, numRuns: 500 },
   );
 });
 
-test("what was sent to targets that had ended already stays out of quarantine", () => {
+test("a request sent to targets that had already ended is not quarantined", () => {
   const suspects = new CrashSuspects();
   for (let nth = 0; nth < 3; nth++) {
-    const life = `life ${nth}`;
+    const incarnation = `incarnation ${nth}`;
     const atMs = 3_000 * nth;
     const late = { sentAtMs: atMs + 400, atMs: atMs + 404 };
-    suspects.recordCrash("innocent", life, late);
-    suspects.recordCrash(FATAL, life, createCrash(atMs));
+    suspects.recordCrash("innocent", incarnation, late);
+    suspects.recordCrash(FATAL, incarnation, createCrash(atMs));
   }
   assert.ok(suspects.isQuarantined(FATAL));
   assert.ok(!suspects.isQuarantined("innocent"));
--- a/packages/routing/src/fair_scheduler.ts
+++ b/packages/routing/src/fair_scheduler.ts
@@ -1,30 +1,37 @@
 /**
- * Orders the requests of several client accounts that wait for the same places.
+ * Orders queued requests of several client accounts by start-time fair
+ * queueing.
  *
- * Load pattern: one account sends as much as its rate allows, in a burst, while
- * others send a request now and then. In order of arrival each of the others
- * waits behind the whole burst. Here each request gets a start tag (start-time
- * fair queueing): an account that has just been given a place gets its next tag
- * later, by the inverse of its weight, and one that comes after a pause begins
- * where the service stands. So under contention accounts are served in the
- * proportion of their weights, and none saves up a claim.
+ * Load pattern: one account sends a burst at its full rate, while others send a
+ * request now and then. In order of arrival, each of the others would wait
+ * behind the whole burst. Here each request gets a start tag, and lower tags go
+ * first. Each request raises its account's next tag by the inverse of the
+ * account's weight, and an account that was idle starts at the current virtual
+ * time. So under contention accounts are served in proportion to their weights,
+ * and an idle account accumulates no credit.
  */
 
-/** An account's claim on the places of one service. */
+/** An account and its share of one service's places. */
 export interface AccountShare {
   readonly clientAccount: string;
-  /** Relative to other accounts. */
+  /** Relative to the weights of other accounts. */
   readonly weight: number;
 }
 
-/** Accounts that are remembered; those that are not behind cost nothing. */
-const MAX_REMEMBERED = 4_096;
+/**
+ * Accounts that are remembered. Forgetting an account costs nothing unless its
+ * next tag is ahead of the virtual time.
+ */
+const MAX_ACCOUNTS = 4_096;
 
 export class FairScheduler {
-  #position = 0;
+  #virtualTime = 0;
   readonly #nextTags = new Map<string, number>();
 
-  /** Lower goes first; requests without an account all have the same. */
+  /**
+   * Returns the start tag of a new request; lower tags go first. Requests
+   * without an account all get 0.
+   */
   assignStartTag(share: AccountShare | undefined): number {
     if (share === undefined) {
       return 0;
@@ -32,21 +39,22 @@
     const tag = this.getNextStartTag(share);
     this.#nextTags.delete(share.clientAccount);
     this.#nextTags.set(share.clientAccount, tag + 1 / share.weight);
-    if (this.#nextTags.size > MAX_REMEMBERED) {
+    if (this.#nextTags.size > MAX_ACCOUNTS) {
       this.#nextTags.delete(this.#nextTags.keys().next().value!);
     }
     return tag;
   }
 
-  /** The tag that the account's next request would get. */
+  /** Returns the start tag that the account's next request would get. */
   getNextStartTag(share: AccountShare | undefined): number {
-    return share === undefined
-      ? 0
-      : Math.max(this.#position, this.#nextTags.get(share.clientAccount) ?? 0);
+    return share === undefined ? 0 : Math.max(
+      this.#virtualTime,
+      this.#nextTags.get(share.clientAccount) ?? 0,
+    );
   }
 
-  /** A request with this tag was given a place. */
+  /** Advances the virtual time after a request with this tag was placed. */
   recordPlaced(tag: number): void {
-    this.#position = Math.max(this.#position, tag);
+    this.#virtualTime = Math.max(this.#virtualTime, tag);
   }
 }
--- a/packages/routing/src/fair_scheduler_test.ts
+++ b/packages/routing/src/fair_scheduler_test.ts
@@ -6,31 +6,34 @@
 const AWASH = { clientAccount: "awash", weight: 2 };
 
 test("an account that floods does not make others wait behind its burst", () => {
-  // One account has a hundred requests waiting when another sends its first.
-  // In order of arrival that one would be the last of 101.
-  const order = new FairScheduler();
-  const burst = Array.from({ length: 100 }, () => order.assignStartTag(NILE));
-  order.recordPlaced(burst[0]!);
-  const first = order.assignStartTag(AWASH);
+  // An account has 100 requests in the queue when another account sends its
+  // first. In order of arrival, the new request would be the last of 101.
+  const scheduler = new FairScheduler();
+  const burst = Array.from(
+    { length: 100 },
+    () => scheduler.assignStartTag(NILE),
+  );
+  scheduler.recordPlaced(burst[0]!);
+  const first = scheduler.assignStartTag(AWASH);
   assert.ok(burst.filter((tag) => tag < first).length <= 1);
 });
 
-test("under contention places go by weight", () => {
-  const order = new FairScheduler();
+test("under contention accounts get places in proportion to their weights", () => {
+  const scheduler = new FairScheduler();
   const tags = [NILE, AWASH].flatMap((share) =>
     Array.from({ length: 60 }, () => ({
       name: share.clientAccount,
-      tag: order.assignStartTag(share),
+      tag: scheduler.assignStartTag(share),
     }))
   ).sort((left, right) => left.tag - right.tag).slice(0, 60);
   const ofAwash = tags.filter(({ name }) => name === "awash").length;
   assert.ok(ofAwash >= 39 && ofAwash <= 41, `${ofAwash} of 60`);
 });
 
-test("an account that comes after a pause has saved nothing up", () => {
-  const order = new FairScheduler();
+test("an idle account accumulates no credit", () => {
+  const scheduler = new FairScheduler();
   for (let count = 0; count < 50; count++) {
-    order.recordPlaced(order.assignStartTag(NILE));
+    scheduler.recordPlaced(scheduler.assignStartTag(NILE));
   }
-  assert.equal(order.getNextStartTag(AWASH), 49);
+  assert.equal(scheduler.getNextStartTag(AWASH), 49);
 });
--- a/packages/routing/src/request_pacer.ts
+++ b/packages/routing/src/request_pacer.ts
@@ -1,29 +1,34 @@
 /**
- * Spaces requests out to a rate, and says how long the next one has to wait.
+ * Paces requests to a rate and computes how long the next one has to wait.
  *
- * Load pattern: a target takes two requests a second and is asked for seven. A
- * request that has to wait longer than it can is refused when it comes, and is
- * told when its turn would have been.
+ * Load pattern: a target accepts two requests per second and seven arrive. A
+ * request whose wait would be too long is refused on arrival, with the time
+ * until its permit as its Retry-After.
  */
 
 export type PermitDecision =
   | { readonly kind: "granted"; readonly waitMs: number }
   | { readonly kind: "refused"; readonly retryAfterMs: number };
 
-/** What was not used in this time may be made up for. */
+/** Unused capacity can be made up for within this time. */
 const BURST_MS = 500;
-/** Slower than this, it would take too long to see that a limit is lifted. */
+/**
+ * Lower rates are raised to this one: otherwise it would take too long to
+ * notice that a limit was lifted.
+ */
 const MIN_PER_SECOND = 0.1;
 
 export class RequestPacer {
-  /** When the next request would be due at an even pace; own clock. */
+  /**
+   * When the next request would be due at an even pace; this instance's clock.
+   */
   #dueMs = -Infinity;
 
   get dueMs(): number {
     return this.#dueMs;
   }
 
-  /** Takes the next turn, unless it comes later than `maxWaitMs` from now. */
+  /** Reserves the next permit, unless the wait for it exceeds `maxWaitMs`. */
   reserve(
     perSecond: number,
     maxWaitMs: number,
@@ -33,8 +38,8 @@
     if (waitMs > maxWaitMs) {
       return { kind: "refused", retryAfterMs: waitMs };
     }
-    const gapMs = 1_000 / Math.max(MIN_PER_SECOND, perSecond);
-    this.#dueMs = Math.max(this.#dueMs, nowMs) + gapMs;
+    const intervalMs = 1_000 / Math.max(MIN_PER_SECOND, perSecond);
+    this.#dueMs = Math.max(this.#dueMs, nowMs) + intervalMs;
     return { kind: "granted", waitMs };
   }
 }
--- a/packages/routing/src/request_pacer_test.ts
+++ b/packages/routing/src/request_pacer_test.ts
@@ -6,25 +6,25 @@
 
 const WINDOW_MS = 4_000;
 
-test("a turn that comes too late is refused, with the time at which it comes", () => {
-  const quota = new RequestPacer();
-  assert.deepEqual(quota.reserve(2, 0, 0), { kind: "granted", waitMs: 0 });
-  assert.deepEqual(quota.reserve(2, 0, 0), { kind: "granted", waitMs: 0 });
-  assert.deepEqual(quota.reserve(2, 400, 0), {
+test("a request whose permit comes too late is refused with the time until that permit", () => {
+  const pacer = new RequestPacer();
+  assert.deepEqual(pacer.reserve(2, 0, 0), { kind: "granted", waitMs: 0 });
+  assert.deepEqual(pacer.reserve(2, 0, 0), { kind: "granted", waitMs: 0 });
+  assert.deepEqual(pacer.reserve(2, 400, 0), {
     kind: "refused",
     retryAfterMs: 500,
   });
-  assert.deepEqual(quota.reserve(2, 500, 0), { kind: "granted", waitMs: 500 });
+  assert.deepEqual(pacer.reserve(2, 500, 0), { kind: "granted", waitMs: 500 });
 });
 
-test("a rate of nothing still lets a request through now and then", () => {
-  const quota = new RequestPacer();
-  quota.reserve(0, 0, 0);
-  assert.equal(quota.reserve(0, 0, 11_000).kind, "granted");
+test("a rate of zero still admits a request every ten seconds", () => {
+  const pacer = new RequestPacer();
+  pacer.reserve(0, 0, 0);
+  assert.equal(pacer.reserve(0, 0, 11_000).kind, "granted");
 });
 
-test("no window gets more than the rate and what half a second makes up for", () => {
-  const claims = fc.array(
+test("no window gets more than the rate plus a burst of half a second", () => {
+  const reservations = fc.array(
     fc.record({
       gapMs: fc.integer({ min: 0, max: 300 }),
       maxWaitMs: fc.integer({ min: 0, max: 1_000 }),
@@ -33,13 +33,13 @@
   );
   const rate = fc.double({ min: 0.5, max: 50, noNaN: true });
   fc.assert(
-    fc.property(claims, rate, (list, perSecond) => {
-      const quota = new RequestPacer();
+    fc.property(reservations, rate, (list, perSecond) => {
+      const pacer = new RequestPacer();
       const starts: number[] = [];
       let nowMs = 0;
       for (const { gapMs, maxWaitMs } of list) {
         nowMs += gapMs;
-        const decision = quota.reserve(perSecond, maxWaitMs, nowMs);
+        const decision = pacer.reserve(perSecond, maxWaitMs, nowMs);
         if (decision.kind === "granted") {
           starts.push(nowMs + decision.waitMs);
         }
--- a/packages/routing/src/retry_budget.ts
+++ b/packages/routing/src/retry_budget.ts
@@ -1,50 +1,53 @@
 /**
- * Second sends of one service, bounded over all instances together.
+ * Retry budget of one service, shared by all instances.
  *
- * Load pattern: targets turn slow or refuse, every request is sent again, and
- * the load doubles when there is least room. The allowance is a share of the
- * first sends that this instance made, plus its part of a fixed reserve, both
- * over a sliding window; the parts of all instances add up to the whole
- * whatever their number.
+ * Load pattern: targets become slow or refuse requests, every request is
+ * retried, and the load doubles when capacity is lowest. The budget is a
+ * fraction of the first attempts of this instance plus its part of a fixed
+ * reserve, both over a sliding window. The budgets of all instances add up to
+ * the configured total, whatever the number of instances.
  */
 
 export interface RetryLimits {
-  /** Second sends for each first one. */
+  /** Retries allowed per first attempt. */
   readonly ratio: number;
-  /** Second sends in a window that all instances may make besides. */
+  /** Additional retries in a window, over all instances. */
   readonly reserve: number;
   readonly windowMs: number;
 }
 
-/** Other instances count what they count: only this much of the limit is used. */
-const USED_SHARE = 0.6;
+/**
+ * Fraction of the budget that this instance uses: instances count their sends
+ * separately, so their sum needs a margin below the total.
+ */
+const USED_FRACTION = 0.6;
 
 export class RetryBudget {
   #limits: RetryLimits;
-  #firstSends: number[] = [];
+  #firstAttempts: number[] = [];
   #retries: number[] = [];
 
   constructor(limits: RetryLimits) {
     this.#limits = limits;
   }
 
-  /** What was counted before goes on counting. */
+  /** Replaces the limits; sends that were counted before still count. */
   setLimits(limits: RetryLimits): void {
     this.#limits = limits;
   }
 
   recordFirstAttempt(nowMs: number): void {
-    this.#firstSends.push(nowMs);
+    this.#firstAttempts.push(nowMs);
   }
 
-  /** Takes one second send; `instances` share the reserve. */
+  /** Takes one retry from the budget; `instances` share the reserve. */
   claimRetry(instances: number, nowMs: number): boolean {
     const oldest = nowMs - this.#limits.windowMs;
-    this.#firstSends = removeBefore(this.#firstSends, oldest);
+    this.#firstAttempts = removeBefore(this.#firstAttempts, oldest);
     this.#retries = removeBefore(this.#retries, oldest);
-    const earned = this.#limits.ratio * this.#firstSends.length;
+    const earned = this.#limits.ratio * this.#firstAttempts.length;
     const reserve = this.#limits.reserve / Math.max(1, instances);
-    if (this.#retries.length + 1 > USED_SHARE * (earned + reserve)) {
+    if (this.#retries.length + 1 > USED_FRACTION * (earned + reserve)) {
       return false;
     }
     this.#retries.push(nowMs);
@@ -52,7 +55,7 @@
   }
 }
 
-/** Times are in order, so those that stay are a tail. */
+/** Times are in ascending order, so the remaining ones are a suffix. */
 function removeBefore(times: number[], oldest: number): number[] {
   const index = times.findIndex((time) => time >= oldest);
   return index < 0 ? [] : index === 0 ? times : times.slice(index);
--- a/packages/routing/src/retry_budget_test.ts
+++ b/packages/routing/src/retry_budget_test.ts
@@ -4,44 +4,44 @@
 
 const LIMITS = { ratio: 0.2, reserve: 64, windowMs: 10_000 };
 
-test("the second sends of all instances stay within the limit together", () => {
-  // Every target refuses, and a dozen instances send every request again: the
-  // service gets twice the load when it can do least. Whatever the number of
-  // instances, their second sends in a window add up to less than the limit.
+test("the retries of all instances together stay within the limit", () => {
+  // Every target refuses and a dozen instances retry every request, so the load
+  // doubles when capacity is lowest. The retries of all instances in a window
+  // must stay below the limit, whatever the number of instances.
   for (const instances of [1, 12, 76]) {
-    const allowances = Array.from(
+    const budgets = Array.from(
       { length: instances },
       () => new RetryBudget(LIMITS),
     );
     let retries = 0;
     const requests = 1_200;
     for (let index = 0; index < requests; index++) {
-      const allowance = allowances[index % instances]!;
+      const budget = budgets[index % instances]!;
       const nowMs = index * 8;
-      allowance.recordFirstAttempt(nowMs);
-      retries += allowance.claimRetry(instances, nowMs) ? 1 : 0;
+      budget.recordFirstAttempt(nowMs);
+      retries += budget.claimRetry(instances, nowMs) ? 1 : 0;
     }
     assert.ok(retries <= LIMITS.ratio * requests + LIMITS.reserve);
     assert.ok(retries > 0.05 * requests, `${retries} of ${requests}`);
   }
 });
 
-test("what was sent again long ago is allowed anew", () => {
-  const allowance = new RetryBudget({ ...LIMITS, ratio: 0, reserve: 2 });
-  assert.ok(allowance.claimRetry(1, 0));
-  assert.ok(!allowance.claimRetry(1, 5_000));
-  assert.ok(allowance.claimRetry(1, 10_001));
+test("retries outside the window no longer count", () => {
+  const budget = new RetryBudget({ ...LIMITS, ratio: 0, reserve: 2 });
+  assert.ok(budget.claimRetry(1, 0));
+  assert.ok(!budget.claimRetry(1, 5_000));
+  assert.ok(budget.claimRetry(1, 10_001));
 });
 
-test("new limits do not open a new window", () => {
-  // The settings change while second sends are at their limit. Counted anew,
-  // they would come to twice the limit within one window.
+test("new limits do not reset the window", () => {
+  // The settings change while the budget is used up. If counting restarted,
+  // twice the limit could be retried within one window.
   const limits = { ratio: 0, reserve: 10, windowMs: 10_000 };
-  const allowance = new RetryBudget(limits);
+  const budget = new RetryBudget(limits);
   const count = () =>
-    Array.from({ length: 20 }, () => allowance.claimRetry(1, 0))
+    Array.from({ length: 20 }, () => budget.claimRetry(1, 0))
       .filter((isClaimed) => isClaimed).length;
   assert.equal(count(), 6);
-  allowance.setLimits({ ...limits, ratio: 0.1 });
+  budget.setLimits({ ...limits, ratio: 0.1 });
   assert.equal(count(), 0);
 });
--- a/packages/routing/src/route_index.ts
+++ b/packages/routing/src/route_index.ts
@@ -1,21 +1,21 @@
 /**
- * Finds the route of a request: by its host and the longest matching prefix, or
- * by its method and a path whose one variable segment is the key.
+ * Finds the route of a request: by host and longest path prefix, or by method
+ * and a path pattern in which one segment is the key.
  */
 import type { Route, RouteMatch } from "@lentilspur/ports/routing_table";
 
-/** What of a request decides its route. */
+/** The properties of a request that determine its route. */
 export interface RoutedRequest {
   readonly method: string;
-  /** May carry a port. */
+  /** May include a port. */
   readonly host: string;
-  /** May carry a query. */
+  /** May include a query. */
   readonly path: string;
 }
 
 export interface MatchedRoute {
   readonly route: Route;
-  /** The segment of the path that is the key, where the route has one. */
+  /** The path segment that is the key, if the route has one. */
   readonly keyText?: string;
 }
 
@@ -24,8 +24,11 @@
 
 export class RouteIndex {
   readonly #byHost = new Map<string, [PrefixMatch, Route][]>();
-  /** By method and number of segments; patterns never meet in one of these. */
-  readonly #byShape = new Map<string, [PatternMatch, Route][]>();
+  /**
+   * By method and number of segments; at most one pattern in a list matches a
+   * path.
+   */
+  readonly #byMethodAndLength = new Map<string, [PatternMatch, Route][]>();
 
   constructor(routes: readonly Route[]) {
     for (const route of routes) {
@@ -36,8 +39,8 @@
           break;
         case "pattern":
           addTo(
-            this.#byShape,
-            formatShape(match.method, match.segments.length),
+            this.#byMethodAndLength,
+            formatPatternKey(match.method, match.segments.length),
             [match, route],
           );
           break;
@@ -51,10 +54,10 @@
   }
 
   match(request: RoutedRequest): MatchedRoute | undefined {
-    const plain = removeQuery(request.path);
-    const route = this.#findByPrefix(request.host, plain);
+    const path = removeQuery(request.path);
+    const route = this.#findByPrefix(request.host, path);
     return route === undefined
-      ? this.#findByPattern(request.method, plain)
+      ? this.#findByPattern(request.method, path)
       : { route };
   }
 
@@ -64,15 +67,19 @@
   }
 
   #findByPattern(method: string, path: string): MatchedRoute | undefined {
-    if (this.#byShape.size === 0) {
+    if (this.#byMethodAndLength.size === 0) {
       return undefined;
     }
-    const given = path.slice(1).split("/");
-    const routes = this.#byShape.get(formatShape(method, given.length)) ?? [];
+    const pathSegments = path.slice(1).split("/");
+    const routes = this.#byMethodAndLength.get(
+      formatPatternKey(method, pathSegments.length),
+    ) ?? [];
     for (const [{ segments }, route] of routes) {
-      const keyText = given[segments.indexOf(null)];
+      const keyText = pathSegments[segments.indexOf(null)];
       const isMatch = segments.every((segment, index) =>
-        segment === null ? given[index] !== "" : segment === given[index]
+        segment === null
+          ? pathSegments[index] !== ""
+          : segment === pathSegments[index]
       );
       if (isMatch) {
         return { route, ...(keyText === undefined ? {} : { keyText }) };
@@ -87,15 +94,15 @@
   name: string,
   value: Value,
 ): void {
-  const known = lists.get(name);
-  if (known === undefined) {
+  const list = lists.get(name);
+  if (list === undefined) {
     lists.set(name, [value]);
   } else {
-    known.push(value);
+    list.push(value);
   }
 }
 
-function formatShape(method: string, segments: number): string {
+function formatPatternKey(method: string, segments: number): string {
   return `${method} ${segments}`;
 }
 
@@ -105,6 +112,6 @@
 }
 
 function removeQuery(path: string): string {
-  const mark = path.indexOf("?");
-  return mark < 0 ? path : path.slice(0, mark);
+  const queryStart = path.indexOf("?");
+  return queryStart < 0 ? path : path.slice(0, queryStart);
 }
--- a/packages/routing/src/route_index_test.ts
+++ b/packages/routing/src/route_index_test.ts
@@ -46,7 +46,7 @@
   assert.equal(matchName(index, "a.example", "/b?x=/a/"), undefined);
 });
 
-test("a pattern takes its method, its literal segments and one key", () => {
+test("a pattern matches its method, its literal segments and one key", () => {
   const index = new RouteIndex([
     createPattern("read", "GET", ["case-files", null]),
     createPattern("lodge", "POST", ["case-files", null, "demands"]),
--- a/packages/routing/src/service_places.ts
+++ b/packages/routing/src/service_places.ts
@@ -1,13 +1,13 @@
 /**
- * Gives the places of one service's targets to requests.
+ * Assigns requests to the places of one service's targets.
  *
- * Load pattern: more requests than places for seconds at a time, from callers
- * of several ranks; targets of one service that differ in speed by a factor of
- * two to three; a target that is sent more than it can queue may never answer.
- * So a request waits here, where a more urgent one can pass it and where it
- * can be refused truthfully, and goes to a target only when one has room. A
- * request that could not be answered in time is refused when it comes, not
- * when its deadline has passed.
+ * Load pattern: for seconds at a time there are more requests than places, from
+ * callers of several priorities. Targets of one service differ in speed by a
+ * factor of two to three. A target that is sent more than it can queue may
+ * never answer. So requests are queued here: more urgent ones can overtake, and
+ * a refused request is certain not to have run. A request is sent to a target
+ * only when the target has room. A request that could not be answered in time
+ * is refused on arrival instead of at its deadline.
  */
 import type { Random } from "@lentilspur/ports/clock";
 import type {
@@ -24,76 +24,82 @@
 } from "./wait_queue.ts";
 
 export interface PlaceRequest extends QueuedRequest {
-  /** Started later, it would be of no use to its caller. */
+  /** A request that starts later is of no use to its caller. */
   readonly latestStartMs: number;
-  /** Targets that have failed this request already. */
+  /** Targets on which this request has failed already. */
   readonly excluded: ReadonlySet<string>;
 }
 
 export type RefusalReason =
   | "no-target"
-  /** What waits already would take until after the latest start. */
+  /** The requests ahead would take until after the latest start. */
   | "overloaded"
   | "waited-too-long"
-  /** The only target that may run it does not answer. */
+  /** The only target that may run the request does not respond. */
   | "owner-silent";
 
 export type PlaceDecision =
   | {
     readonly kind: "placed";
     readonly target: RoutingTarget;
-    /** Requests that the target was believed to have. */
+    /** Estimated number of requests at the target. */
     readonly occupancy: number;
     readonly waitedMs: number;
   }
   | {
     readonly kind: "refused";
     readonly reason: RefusalReason;
-    /** After this time there may be room. */
+    /** Estimated time until there is room. */
     readonly retryAfterMs: number;
   };
 
 type PlaceCallback = (decision: PlaceDecision) => void;
-type PlaceWaiter = QueueEntry<PlaceRequest, PlaceCallback>;
+type PlaceEntry = QueueEntry<PlaceRequest, PlaceCallback>;
 
 /**
- * Requests sent to a target beyond its places: a place does not stand empty while
- * an answer and the next request are on their way.
+ * Requests sent to a target beyond its places, so that a place is not idle
+ * while a response and the next request are in flight.
  */
-const SENT_AHEAD = 2;
+const OVERCOMMIT = 2;
 /**
- * Where nobody else could run it, the target's own queue may hold more: what
- * others have there is known late. A target whose queue overflows may never
- * answer.
+ * The same limit for a request that only one target may run: more requests may
+ * be in that target's own queue. Counts of other instances arrive late, and a
+ * target whose queue overflows may never answer.
  */
-const SENT_AHEAD_TO_OWNER = 5;
+const OWNER_OVERCOMMIT = 5;
 /**
- * A target elsewhere must be better by this share of the work to be preferred:
- * bytes between data centres have a price.
+ * A target in another data centre must be faster by this factor of the service
+ * time to be preferred, since traffic between data centres is paid for.
  */
-const REMOTE_SHARE = 1.2;
-/** Where all targets are suspended or unknown, one is expected back after this. */
+const REMOTE_COST_FACTOR = 1.2;
+/** Retry-After while all targets are suspended or unknown. */
 const NO_TARGET_RETRY_MS = 300;
-/** Shortest time after which a refused request is asked to come back. */
+/** Minimum Retry-After of a refused request. */
 const MIN_RETRY_MS = 20;
-/** An owner that does not answer is waited for this long; a move takes about as long. */
-const SILENT_OWNER_WAIT_MS = 250;
 /**
- * How much worse than it looks a target may be taken for: for each instance
- * beyond a dozen that chooses as well, and at most. Instances hear of each
- * other's choices late; without chance all take the target that looks best, and
- * overfill it before anybody knows.
+ * How long a request waits for an owner that does not respond; a move of its
+ * keys takes about as long.
  */
-const WELL_INFORMED = 12;
-const CHANCE_PER_INSTANCE = 1 / 40;
-const MAX_CHANCE = 1;
+const UNRESPONSIVE_OWNER_WAIT_MS = 250;
+/**
+ * Random factor on the estimated cost of a target: the increase per instance
+ * beyond the first 12, and its maximum. Load counts from other instances arrive
+ * late; without randomness, all instances would choose the target that looks
+ * best and overload it before any of them knows.
+ */
+const INSTANCES_WITHOUT_RANDOMNESS = 12;
+const RANDOMNESS_PER_INSTANCE = 1 / 40;
+const MAX_RANDOMNESS = 1;
 
 export interface ServicePlacesOptions {
-  /** Where this instance stands. */
+  /** The data centre of this instance. */
   readonly dataCentre: string;
-  /** Instances that there may be, this one included. */
+  /** Estimated number of instances, including this one. */
   readonly countInstances: () => number;
-  /** How long a target takes no more requests, where it limits them. */
+  /**
+   * Estimated time until the target's rate limit admits a request; 0 without a
+   * limit.
+   */
   readonly estimatePermitWaitMs: (target: RoutingTarget) => number;
   readonly random: Random;
 }
@@ -101,7 +107,7 @@
 export class ServicePlaces {
   readonly #options: ServicePlacesOptions;
   readonly #loads = new Map<string, TargetLoad>();
-  readonly #line = new WaitQueue<PlaceRequest, PlaceCallback>();
+  readonly #queue = new WaitQueue<PlaceRequest, PlaceCallback>();
   #maxWaitingPerTarget = Infinity;
 
   constructor(options: ServicePlacesOptions) {
@@ -109,25 +115,25 @@
   }
 
   get waiting(): number {
-    return this.#line.size;
+    return this.#queue.size;
   }
 
-  /** Requests that wait here; under the empty name those for any target. */
+  /** Counts queued requests by target; the empty name is for any target. */
   countQueued(): QueueLengths {
-    return this.#line.countQueued();
+    return this.#queue.countQueued();
   }
 
-  /** `instances`: how many have these together. */
+  /** `instances`: number of instances that the counts cover. */
   setPeerQueueLengths(
     peer: string,
     counts: QueueLengths,
     nowMs: number,
     instances = 1,
   ): void {
-    this.#line.setPeerQueueLengths(peer, { counts, instances, atMs: nowMs });
+    this.#queue.setPeerQueueLengths(peer, { counts, instances, atMs: nowMs });
   }
 
-  /** Takes over the targets that there are now. */
+  /** Replaces the set of targets. */
   setTargets(targets: readonly KnownTarget[]): void {
     const ids = new Set(targets.map((target) => target.id));
     for (const id of [...this.#loads.keys()]) {
@@ -138,7 +144,8 @@
     for (const target of targets) {
       const known = this.#loads.get(target.id);
       if (known?.target !== target) {
-        // A later life has none of the earlier one's requests and faults.
+        // A new incarnation starts without the requests and failures of the
+        // previous one.
         const previous = known?.target.bornMs === target.bornMs
           ? known
           : undefined;
@@ -147,7 +154,7 @@
     }
   }
 
-  /** Requests that may wait for one target, over all instances. */
+  /** Sets how many requests may wait for one target, over all instances. */
   setMaxWaiting(perTarget: number): void {
     this.#maxWaitingPerTarget = perTarget;
   }
@@ -160,53 +167,60 @@
     return [...this.#loads.values()];
   }
 
-  /** Decides at once, or later through `settle`. */
+  /** Decides at once, or queues the request and calls `callback` later. */
   submit(
     request: PlaceRequest,
     nowMs: number,
-    settle: (decision: PlaceDecision) => void,
+    callback: (decision: PlaceDecision) => void,
   ): void {
     const refusal = this.#findRefusal(request, nowMs);
     if (refusal !== undefined) {
-      settle(refusal);
+      callback(refusal);
       return;
     }
-    this.#line.add(request, settle);
+    this.#queue.add(request, callback);
     this.dispatchQueued(nowMs);
   }
 
-  /** The caller has left, or its request is given up. */
+  /** Removes a request whose caller has left or that was cancelled. */
   remove(requestId: string): void {
-    this.#line.remove(requestId);
+    this.#queue.remove(requestId);
   }
 
-  /** Places what can be placed and refuses what has waited too long. */
+  /**
+   * Places queued requests where there is room and refuses those that have
+   * waited too long.
+   */
   dispatchQueued(nowMs: number): void {
-    if (this.#line.size === 0) {
+    if (this.#queue.size === 0) {
       return;
     }
-    const stay: PlaceWaiter[] = [];
-    const settled: (() => void)[] = [];
-    // Where there was no room for one, there is none for those behind it.
-    const fullLanes = new Set<string>();
-    for (const waiter of this.#line.list()) {
-      const decision = this.#decide(waiter.request, nowMs, fullLanes);
+    const remaining: PlaceEntry[] = [];
+    const callbacks: (() => void)[] = [];
+    // If there is no room for a request, there is none for those behind it in
+    // its queue.
+    const fullQueues = new Set<string>();
+    for (const entry of this.#queue.list()) {
+      const decision = this.#decide(entry.request, nowMs, fullQueues);
       if (decision === undefined) {
-        stay.push(waiter);
+        remaining.push(entry);
       } else {
         if (decision.kind === "placed") {
-          this.#line.recordPlaced(waiter);
+          this.#queue.recordPlaced(entry);
         }
-        settled.push(() => waiter.extra(decision));
+        callbacks.push(() => entry.context(decision));
       }
     }
-    this.#line.setEntries(stay);
-    for (const settle of settled) {
-      settle();
+    this.#queue.setEntries(remaining);
+    for (const callback of callbacks) {
+      callback();
     }
   }
 
-  /** Work of one request at the service's targets, on average; null if unknown. */
+  /**
+   * Average service time of one request over the service's targets; null if
+   * unknown.
+   */
   getAverageServiceMs(): number | null {
     let sum = 0;
     let count = 0;
@@ -222,23 +236,25 @@
   #decide(
     request: PlaceRequest,
     nowMs: number,
-    fullLanes: Set<string>,
+    fullQueues: Set<string>,
   ): PlaceDecision | undefined {
     const waitedMs = nowMs - request.arrivedAtMs;
-    const lane = getQueueKey(request);
-    const load = fullLanes.has(lane) ? undefined : this.#choose(request, nowMs);
+    const queueKey = getQueueKey(request);
+    const load = fullQueues.has(queueKey)
+      ? undefined
+      : this.#choose(request, nowMs);
     if (load === undefined && request.excluded.size === 0) {
-      fullLanes.add(lane);
+      fullQueues.add(queueKey);
     }
     if (load !== undefined) {
       const occupancy = load.computeOccupancy(nowMs);
-      // Counted at once, so that the next decision of this turn sees it.
+      // Recorded at once, so that the next decision of this loop counts it.
       load.recordSent(request.requestId, nowMs);
       return { kind: "placed", target: load.target, occupancy, waitedMs };
     }
-    const isSilent = request.owner !== undefined &&
+    const isUnresponsive = request.owner !== undefined &&
       this.#loads.get(request.owner)?.isSuspended(nowMs) === true;
-    if (isSilent && waitedMs > SILENT_OWNER_WAIT_MS) {
+    if (isUnresponsive && waitedMs > UNRESPONSIVE_OWNER_WAIT_MS) {
       const retryAfterMs = NO_TARGET_RETRY_MS;
       return { kind: "refused", reason: "owner-silent", retryAfterMs };
     }
@@ -253,7 +269,7 @@
     if (request.owner !== undefined) {
       const load = this.#loads.get(request.owner);
       return load !== undefined && !load.isSuspended(nowMs) &&
-          hasRoom(load, SENT_AHEAD_TO_OWNER, nowMs)
+          hasRoom(load, OWNER_OVERCOMMIT, nowMs)
         ? load
         : undefined;
     }
@@ -261,40 +277,44 @@
   }
 
   /**
-   * The earliest answer among the targets that have room. Load pattern: twice
-   * what the targets can do; the fast ones are full, and a request that is sent
-   * to a slow one just before its latest start is late for certain. It waits
-   * for a fast one instead, and what waits in vain is refused.
+   * Chooses the target with room and the earliest estimated response. Load
+   * pattern: twice the capacity arrives, and the fast targets are full. A
+   * request that is sent to a slow target just before its latest start is
+   * certain to be late, so it waits for a fast target instead, and is refused
+   * if none gets room in time.
    */
   #chooseFastest(
     request: PlaceRequest,
     nowMs: number,
   ): TargetLoad | undefined {
-    const usualMs = this.getAverageServiceMs();
-    const leftMs = request.latestStartMs + (usualMs ?? 0) - nowMs;
+    const averageMs = this.getAverageServiceMs();
+    const remainingMs = request.latestStartMs + (averageMs ?? 0) - nowMs;
     let best: TargetLoad | undefined;
     let bestMs = Infinity;
     let isLate = true;
-    let mayWait = false;
-    const chance = this.#computeChance();
+    let canBeInTime = false;
+    const randomness = this.#computeRandomness();
     for (const load of this.#listUsable(request, nowMs)) {
-      const answerMs = load.estimateResponseMs(nowMs, usualMs) +
+      const responseMs = load.estimateResponseMs(nowMs, averageMs) +
         this.#options.estimatePermitWaitMs(load.target);
-      mayWait ||= load.estimateServiceMs(nowMs, usualMs) <= leftMs;
-      const costMs = (1 + chance * this.#options.random.draw()) *
-        (answerMs + this.#computeRemoteMs(load, nowMs, usualMs));
-      if (costMs < bestMs && hasRoom(load, SENT_AHEAD, nowMs)) {
+      canBeInTime ||= load.estimateServiceMs(nowMs, averageMs) <= remainingMs;
+      const costMs = (1 + randomness * this.#options.random.draw()) *
+        (responseMs + this.#computeRemoteCostMs(load, nowMs, averageMs));
+      if (costMs < bestMs && hasRoom(load, OVERCOMMIT, nowMs)) {
         bestMs = costMs;
         best = load;
-        isLate = answerMs > leftMs;
+        isLate = responseMs > remainingMs;
       }
     }
-    return isLate && mayWait ? undefined : best;
+    return isLate && canBeInTime ? undefined : best;
   }
 
-  #computeChance(): number {
-    const more = Math.max(0, this.#options.countInstances() - WELL_INFORMED);
-    return Math.min(MAX_CHANCE, CHANCE_PER_INSTANCE * more);
+  #computeRandomness(): number {
+    const extraInstances = Math.max(
+      0,
+      this.#options.countInstances() - INSTANCES_WITHOUT_RANDOMNESS,
+    );
+    return Math.min(MAX_RANDOMNESS, RANDOMNESS_PER_INSTANCE * extraInstances);
   }
 
   #listUsable(request: PlaceRequest, nowMs: number): readonly TargetLoad[] {
@@ -310,14 +330,15 @@
     return usable;
   }
 
-  #computeRemoteMs(
+  #computeRemoteCostMs(
     load: TargetLoad,
     nowMs: number,
-    usualMs: number | null,
+    averageMs: number | null,
   ): number {
     return load.target.dataCentre === this.#options.dataCentre
       ? 0
-      : REMOTE_SHARE * (usualMs ?? load.estimateServiceMs(nowMs, usualMs));
+      : REMOTE_COST_FACTOR *
+        (averageMs ?? load.estimateServiceMs(nowMs, averageMs));
   }
 
   #findRefusal(
@@ -330,7 +351,7 @@
     }
     const waitMs = this.#estimateWaitMs(request, nowMs);
     return nowMs + waitMs > request.latestStartMs ||
-        this.#line.countAhead(request, nowMs) >=
+        this.#queue.countAhead(request, nowMs) >=
           this.#computeMaxWaiting(request)
       ? { kind: "refused", reason: "overloaded", retryAfterMs: waitMs }
       : undefined;
@@ -354,19 +375,22 @@
     return places;
   }
 
-  /** Until what waits ahead of this request has been worked off. */
+  /**
+   * Estimates the time until the requests ahead of this one have been served.
+   */
   #estimateWaitMs(request: PlaceRequest, nowMs: number): number {
-    const ahead = this.#line.countAhead(request, nowMs);
+    const ahead = this.#queue.countAhead(request, nowMs);
     const owner = request.owner === undefined
       ? undefined
       : this.#loads.get(request.owner);
-    const usualMs = this.getAverageServiceMs();
-    const serviceMs = owner?.estimateServiceMs(nowMs, usualMs) ?? usualMs ?? 0;
+    const averageMs = this.getAverageServiceMs();
+    const serviceMs = owner?.estimateServiceMs(nowMs, averageMs) ?? averageMs ??
+      0;
     const places = Math.max(1, this.#countPlaces(request));
     return Math.max(MIN_RETRY_MS, ahead * serviceMs / places);
   }
 }
 
-function hasRoom(load: TargetLoad, ahead: number, nowMs: number): boolean {
-  return load.computeOccupancy(nowMs) < load.target.places + ahead;
+function hasRoom(load: TargetLoad, overcommit: number, nowMs: number): boolean {
+  return load.computeOccupancy(nowMs) < load.target.places + overcommit;
 }
--- a/packages/routing/src/service_places_test.ts
+++ b/packages/routing/src/service_places_test.ts
@@ -47,8 +47,8 @@
   return places;
 }
 
-/** Offers a request; the decision is filled in once there is one. */
-function offer(
+/** Submits a request; `decision` is set once it is made. */
+function submit(
   places: ServicePlaces,
   request: PlaceRequest,
   nowMs = 0,
@@ -64,23 +64,24 @@
     : undefined;
 }
 
-test("a target is never sent more than its places and two ahead", () => {
-  // A target that is full may never answer, nor anything else on that
-  // connection. What does not fit waits here, and goes when an answer comes.
+test("a target gets at most two requests more than it has places", () => {
+  // An overloaded target may never answer, nor anything else on that
+  // connection. Excess requests are queued here and sent when a response
+  // arrives.
   const places = createPlaces(createTarget("a"));
   const results = [1, 2, 3, 4, 5]
-    .map((n) => offer(places, createRequest(`${n}`)));
+    .map((n) => submit(places, createRequest(`${n}`)));
   assert.deepEqual(results.map(getTarget), ["a", "a", "a", "a", undefined]);
   places.getLoad("a")!.recordEnded("1");
   places.dispatchQueued(10);
   assert.equal(getTarget(results[4]!), "a");
 });
 
-test("what other instances have at a target counts", () => {
+test("requests of other instances at a target count", () => {
   const places = createPlaces(createTarget("a"), createTarget("b", "kirkos"));
   places.getLoad("a")!.setPeerCount("other", 4, 0);
-  assert.equal(getTarget(offer(places, createRequest("1"))), "b");
-  const later = offer(
+  assert.equal(getTarget(submit(places, createRequest("1"))), "b");
+  const later = submit(
     places,
     createRequest("2", { latestStartMs: 5_000 }),
     2_000,
@@ -88,77 +89,78 @@
   assert.equal(
     getTarget(later),
     "a",
-    "an instance that is silent is forgotten",
+    "the count of an instance that no longer reports expires",
   );
 });
 
 test("a target of the same data centre is preferred unless it is slower", () => {
   const places = createPlaces(createTarget("a", "yeka"), createTarget("b"));
-  assert.equal(getTarget(offer(places, createRequest("1"))), "b");
-  assert.equal(getTarget(offer(places, createRequest("2"))), "b");
-  // A third would wait for half a work there, which costs less than the way.
-  assert.equal(getTarget(offer(places, createRequest("3"))), "b");
-  assert.equal(getTarget(offer(places, createRequest("4"))), "b");
-  assert.equal(getTarget(offer(places, createRequest("5"))), "a");
+  assert.equal(getTarget(submit(places, createRequest("1"))), "b");
+  assert.equal(getTarget(submit(places, createRequest("2"))), "b");
+  // The third waits for half a service time there, which costs less than a
+  // remote target.
+  assert.equal(getTarget(submit(places, createRequest("3"))), "b");
+  assert.equal(getTarget(submit(places, createRequest("4"))), "b");
+  assert.equal(getTarget(submit(places, createRequest("5"))), "a");
 });
 
-test("the more urgent of two that wait is placed first", () => {
+test("the more urgent of two queued requests is placed first", () => {
   const places = createPlaces(createTarget("a"));
   for (const n of [1, 2, 3, 4]) {
-    offer(places, createRequest(`${n}`));
+    submit(places, createRequest(`${n}`));
   }
-  const late = offer(places, createRequest("late", { priority: 2 }));
-  const urgent = offer(places, createRequest("urgent", { priority: 0 }), 5);
+  const late = submit(places, createRequest("late", { priority: 2 }));
+  const urgent = submit(places, createRequest("urgent", { priority: 0 }), 5);
   places.getLoad("a")!.recordEnded("1");
   places.dispatchQueued(10);
   assert.equal(getTarget(urgent), "a");
   assert.equal(late.decision, undefined);
 });
 
-test("a request that cannot be in time is refused when it comes", () => {
-  // Twice what the targets can do arrives for a second. Queued without a look,
-  // every caller waits until its deadline and is then refused.
+test("a request that cannot be in time is refused on arrival", () => {
+  // Twice the capacity arrives for a second. If everything were queued, every
+  // caller would wait until its deadline and then be refused.
   const places = createPlaces(createTarget("a"));
   const load = places.getLoad("a")!;
   for (let n = 0; n < 3; n++) {
-    offer(places, createRequest(`running-${n}`));
+    submit(places, createRequest(`running-${n}`));
   }
   load.recordResponse(100, 0);
   let refusedAt = -1;
   for (let n = 0; n < 40 && refusedAt < 0; n++) {
-    const { decision } = offer(places, createRequest(`${n}`));
+    const { decision } = submit(places, createRequest(`${n}`));
     refusedAt = decision?.kind === "refused" ? n : -1;
   }
-  // 500 ms are ten times 100 ms of work in two places.
+  // In 500 ms, two places complete ten requests of 100 ms each.
   assert.ok(refusedAt >= 8 && refusedAt <= 12, `${refusedAt}`);
 });
 
-test("requests that wait elsewhere are ahead as well", () => {
+test("requests queued at other instances count as ahead", () => {
   const places = createPlaces(createTarget("a"));
   places.getLoad("a")!.recordResponse(100, 0);
   places.setPeerQueueLengths("other", new Map([["", [0, 20]]]), 0);
-  assert.equal(offer(places, createRequest("1")).decision?.kind, "refused");
+  assert.equal(submit(places, createRequest("1")).decision?.kind, "refused");
 });
 
-test("what waits elsewhere and is less urgent is not ahead", () => {
-  // Lookups flood a service. Counted as ahead of everything, they would have a
-  // settlement refused that goes before all of them.
+test("less urgent requests queued at other instances do not count as ahead", () => {
+  // A flood of lookups arrives. If they counted as ahead of everything, a more
+  // urgent settlement would be refused.
   const places = createPlaces(createTarget("a"));
   places.getLoad("a")!.recordResponse(100, 0);
   places.setPeerQueueLengths("other", new Map([["", [0, 0, 50]]]), 0);
   assert.equal(
-    getTarget(offer(places, createRequest("1", { priority: 0 }))),
+    getTarget(submit(places, createRequest("1", { priority: 0 }))),
     "a",
   );
   assert.equal(
-    offer(places, createRequest("2", { priority: 2 })).decision?.kind,
+    submit(places, createRequest("2", { priority: 2 })).decision?.kind,
     "refused",
   );
 });
 
 test("a request waits for a fast target rather than be late at a slow one", () => {
-  // The fast target is full, the slow one idle. Sent there, the request would
-  // be late for certain; the fast one has room for it in time.
+  // The fast target is full and the slow one is idle. On the slow target the
+  // request would certainly be late; the fast one has room in time.
   const places = createPlaces(createTarget("slow"), createTarget("fast"));
   for (let count = 0; count < 30; count++) {
     places.getLoad("slow")!.recordResponse(900, 0);
@@ -167,26 +169,26 @@
   const changes = { latestStartMs: 100 };
   for (const n of [1, 2, 3, 4]) {
     assert.equal(
-      getTarget(offer(places, createRequest(`${n}`, changes))),
+      getTarget(submit(places, createRequest(`${n}`, changes))),
       "fast",
     );
   }
-  const waiting = offer(places, createRequest("5", changes));
+  const waiting = submit(places, createRequest("5", changes));
   assert.equal(waiting.decision, undefined);
   places.getLoad("fast")!.recordEnded("1");
   places.dispatchQueued(20);
   assert.equal(getTarget(waiting), "fast");
 });
 
-test("an owner that does not answer is not waited for until the deadline", () => {
-  // The one target that owns a key has fallen silent. Its callers wait their
-  // whole deadlines in vain, although it is known.
+test("a request for an unresponsive owner is refused before its deadline", () => {
+  // The only owner of a key does not respond. Its callers must not wait until
+  // their deadlines once that is known.
   const places = createPlaces(createTarget("a"), createTarget("b"));
   const load = places.getLoad("a")!;
   load.recordUnresponsive(0);
   load.recordUnresponsive(0);
   load.recordUnresponsive(0);
-  const result = offer(places, createRequest("1", { owner: "a" }));
+  const result = submit(places, createRequest("1", { owner: "a" }));
   places.dispatchQueued(100);
   assert.equal(result.decision, undefined);
   places.dispatchQueued(300);
@@ -197,9 +199,9 @@
   });
 });
 
-test("a target that fails half of its work is asked seldom", () => {
-  // Its health check is good and it fails fast, so that it always looks idle
-  // and would draw most of the requests to itself.
+test("a target that fails its requests is rarely chosen", () => {
+  // The target passes its health check but fails fast, so it always looks idle
+  // and would attract most of the requests.
   const places = createPlaces(createTarget("a"), createTarget("b"));
   for (let n = 0; n < 30; n++) {
     places.getLoad("a")!.recordFailure(n);
@@ -207,16 +209,16 @@
   }
   const chosen = [1, 2].map((n) =>
     getTarget(
-      offer(places, createRequest(`${n}`, { latestStartMs: 5_000 }), 1_000),
+      submit(places, createRequest(`${n}`, { latestStartMs: 5_000 }), 1_000),
     )
   );
   assert.deepEqual(chosen, ["b", "b"]);
 });
 
-test("a target does not look slow for the wait of its callers", () => {
-  // A hot key keeps a target full. Its answers take three times as long as its
-  // work, and what waits there is known only in part. Taken for a slow target,
-  // it would lose the key to another, which would look slow next.
+test("queueing time does not make a target look slow", () => {
+  // A hot key keeps a target full: its responses take three times the service
+  // time, and its queue is known only in part. If it counted as slow, the key
+  // would move to another target, which would look slow next.
   const places = createPlaces(createTarget("a"));
   const load = places.getLoad("a")!;
   for (let count = 0; count < 20; count++) {
@@ -229,5 +231,8 @@
   for (let count = 0; count < 50; count++) {
     load.recordResponse(600, 2);
   }
-  assert.ok(load.unloadedServiceMs! > 300, "a target that turned slow shows");
+  assert.ok(
+    load.unloadedServiceMs! > 300,
+    "a target that has become slow is detected",
+  );
 });
--- a/packages/routing/src/target_incarnation.ts
+++ b/packages/routing/src/target_incarnation.ts
@@ -1,11 +1,14 @@
-/** One start of a target, however often its id is used. */
+/** One incarnation of a target: a target id may be reused after a restart. */
 export interface TargetIncarnation {
   readonly id: string;
-  /** When it began, in Unix milliseconds by its own clock, if it says so. */
+  /**
+   * Start time in Unix milliseconds by the target's own clock, if it reports
+   * one.
+   */
   readonly bornMs?: number;
 }
 
-/** A name of this life alone. */
+/** Returns a unique name of this incarnation. */
 export function formatTargetIncarnation(
   { id, bornMs }: TargetIncarnation,
 ): string {
--- a/packages/routing/src/target_load.ts
+++ b/packages/routing/src/target_load.ts
@@ -1,33 +1,46 @@
 /**
- * What one instance knows of a target's load: its own requests there, those of
- * the instances that tell it of theirs, what the target reported last, how
- * long its work takes and how often it fails.
+ * One instance's estimate of a target's load, service time and failure rate,
+ * from its own requests, the counts of other instances and the target's last
+ * load report.
  */
 import type { ReportedLoad } from "@lentilspur/ports/request_sender";
 import type { KnownTarget } from "@lentilspur/ports/routing_table";
 
-/** Weight of a new sample: some ten answers see a change of speed. */
+/** Weight of a new sample: about ten responses show a change of speed. */
 const SAMPLE_WEIGHT = 0.15;
-/** Work of a target that nobody has measured yet; about that of a lookup. */
-const UNKNOWN_SERVICE_MS = 100;
-/** A target is slower than this many times its usual until it is warm. */
+/**
+ * Assumed service time of a target without any sample; about that of a lookup.
+ */
+const DEFAULT_SERVICE_MS = 100;
+/** Service time of a cold target, as a multiple of its usual service time. */
 const COLD_FACTOR = 2;
-/** Unknown waits make work look twice as long; beyond this it is the target. */
+/**
+ * Unknown queueing makes the service time look up to twice as long; beyond this
+ * factor the target itself is slow.
+ */
 const SLOW_FACTOR = 2.5;
-/** A reported load is older than most requests after this. */
+/**
+ * A load report older than this predates most of the target's current requests.
+ */
 const REPORT_VALID_MS = 150;
 /**
- * What a peer last told is taken for gone after this: three reports have failed
- * to come from one of a dozen, two from one of 60.
+ * A peer's count expires after this: by then three consecutive reports are
+ * missing in a deployment of a dozen instances, or two in one of 60.
  */
 const PEER_VALID_MS = 1_500;
-/** First and longest time for which a target that does not answer is left alone. */
+/** First and longest suspension of a target that does not respond. */
 const MIN_SUSPENSION_MS = 250;
 const MAX_SUSPENSION_MS = 2_000;
-/** A target that has refused for lack of room is asked again after about half a request. */
-const FULL_PAUSE_MS = 40;
-/** Below this chance of success the estimate would make one bad target look dead for good. */
-const MIN_SUCCESS = 0.05;
+/**
+ * How long a target that refused for lack of room is suspended: about half the
+ * service time of a request.
+ */
+const FULL_SUSPENSION_MS = 40;
+/**
+ * Minimum assumed success rate: below it, a failing target would never be tried
+ * again.
+ */
+const MIN_SUCCESS_RATE = 0.05;
 
 interface PeerCount {
   count: number;
@@ -37,12 +50,15 @@
 export class TargetLoad {
   readonly target: KnownTarget;
   readonly #startedAt = new Map<string, number>();
-  readonly #peers = new Map<string, PeerCount>();
+  readonly #peerCounts = new Map<string, PeerCount>();
   #report = { others: 0, atMs: -Infinity };
   #serviceMs: number | null = null;
-  /** As above, from answers that had nothing ahead of them. */
+  /**
+   * Like `#serviceMs`, but only from requests that were sent while a place was
+   * free.
+   */
   #uncontendedServiceMs: number | null = null;
-  #failureShare = 0;
+  #failureRate = 0;
   #suspensionMs = 0;
   #suspendedUntilMs = -Infinity;
 
@@ -50,17 +66,17 @@
     this.target = target;
     if (previous !== undefined) {
       this.#startedAt = previous.#startedAt;
-      this.#peers = previous.#peers;
+      this.#peerCounts = previous.#peerCounts;
       this.#report = previous.#report;
       this.#serviceMs = previous.#serviceMs;
       this.#uncontendedServiceMs = previous.#uncontendedServiceMs;
-      this.#failureShare = previous.#failureShare;
+      this.#failureRate = previous.#failureRate;
       this.#suspensionMs = previous.#suspensionMs;
       this.#suspendedUntilMs = previous.#suspendedUntilMs;
     }
   }
 
-  /** Requests of this instance that the target has. */
+  /** Requests of this instance that are at the target. */
   get ownCount(): number {
     return this.#startedAt.size;
   }
@@ -70,49 +86,59 @@
   }
 
   /**
-   * The target's own speed. Where it is full, its queue is known only as of the
-   * last reports, and a wait that nobody knows of passes for work: a target
-   * with a hot key would look slower than all others, and the key would be
-   * moved on and on. A target that has turned slow shows by more than that.
+   * Service time of the target without queueing. The queue of a full target is
+   * known only as of the last reports, so unknown queueing time is measured as
+   * service time: a target with a hot key would look slower than all others,
+   * and the key would be moved again and again. A measurement above
+   * `SLOW_FACTOR` times the usual value means that the target itself has become
+   * slow.
    */
   get unloadedServiceMs(): number | null {
-    const calm = this.#uncontendedServiceMs;
+    const uncontended = this.#uncontendedServiceMs;
     const measured = this.#serviceMs;
-    return calm === null || measured === null || measured > SLOW_FACTOR * calm
+    return uncontended === null || measured === null ||
+        measured > SLOW_FACTOR * uncontended
       ? measured
-      : calm;
+      : uncontended;
   }
 
   recordSent(requestId: string, nowMs: number): void {
     this.#startedAt.set(requestId, nowMs);
   }
 
-  /** The target works on it no more, or nobody waits for it any more. */
+  /**
+   * Records that the target has finished the request, or that nobody waits for
+   * it any more.
+   */
   recordEnded(requestId: string): void {
     this.#startedAt.delete(requestId);
   }
 
   recordResponse(elapsedMs: number, occupancyAtSend: number): void {
-    const ahead = Math.max(1, (occupancyAtSend + 1) / this.target.places);
-    const sample = elapsedMs / ahead;
-    const before = this.#serviceMs ?? sample;
-    this.#serviceMs = before + SAMPLE_WEIGHT * (sample - before);
+    const queueFactor = Math.max(1, (occupancyAtSend + 1) / this.target.places);
+    const sample = elapsedMs / queueFactor;
+    const previousMs = this.#serviceMs ?? sample;
+    this.#serviceMs = previousMs + SAMPLE_WEIGHT * (sample - previousMs);
     if (occupancyAtSend < this.target.places) {
-      const calm = this.#uncontendedServiceMs ?? sample;
-      this.#uncontendedServiceMs = calm + SAMPLE_WEIGHT * (sample - calm);
+      const uncontended = this.#uncontendedServiceMs ?? sample;
+      this.#uncontendedServiceMs = uncontended +
+        SAMPLE_WEIGHT * (sample - uncontended);
     }
-    this.#failureShare *= 1 - SAMPLE_WEIGHT;
+    this.#failureRate *= 1 - SAMPLE_WEIGHT;
     this.#suspensionMs = 0;
   }
 
-  /** No answer came in this time: the work takes at least about as long. */
+  /**
+   * Records that no response came in this time, so the service time is at least
+   * about as long.
+   */
   recordTimeout(elapsedMs: number): void {
-    const before = this.#serviceMs ?? elapsedMs;
+    const previousMs = this.#serviceMs ?? elapsedMs;
     this.#serviceMs = Math.max(
-      before,
-      before + SAMPLE_WEIGHT * (elapsedMs - before),
+      previousMs,
+      previousMs + SAMPLE_WEIGHT * (elapsedMs - previousMs),
     );
-    this.#failureShare += SAMPLE_WEIGHT * (1 - this.#failureShare);
+    this.#failureRate += SAMPLE_WEIGHT * (1 - this.#failureRate);
   }
 
   recordReport(load: ReportedLoad, nowMs: number): void {
@@ -120,16 +146,19 @@
     this.#report = { others: Math.max(0, others), atMs: nowMs };
   }
 
-  /** The target refused for lack of room, or broke its answer off. */
+  /**
+   * Records that the target refused for lack of room, or that its response was
+   * cut off.
+   */
   recordFailure(nowMs: number): void {
-    this.#failureShare += SAMPLE_WEIGHT * (1 - this.#failureShare);
+    this.#failureRate += SAMPLE_WEIGHT * (1 - this.#failureRate);
     this.#suspendedUntilMs = Math.max(
       this.#suspendedUntilMs,
-      nowMs + FULL_PAUSE_MS,
+      nowMs + FULL_SUSPENSION_MS,
     );
   }
 
-  /** Nothing reached the target, or nothing came back. */
+  /** Records that the target was unreachable or sent no response. */
   recordUnresponsive(nowMs: number): void {
     this.#suspensionMs = Math.min(
       MAX_SUSPENSION_MS,
@@ -138,18 +167,18 @@
     this.#suspendedUntilMs = nowMs + this.#suspensionMs;
   }
 
-  /** Only those that have requests there are kept: of 200 instances, a few. */
+  /** Keeps only peers with requests at the target: a few of 200 instances. */
   setPeerCount(peer: string, count: number, atMs: number): void {
     if (count <= 0) {
-      this.#peers.delete(peer);
+      this.#peerCounts.delete(peer);
       return;
     }
-    const known = this.#peers.get(peer);
+    const known = this.#peerCounts.get(peer);
     if (known === undefined) {
-      this.#peers.set(peer, { count, atMs });
+      this.#peerCounts.set(peer, { count, atMs });
       return;
     }
-    // Told some hundred times a second: nothing is made anew for it.
+    // Called some hundred times a second, so it updates the entry in place.
     known.count = count;
     known.atMs = atMs;
   }
@@ -158,10 +187,10 @@
     return nowMs < this.#suspendedUntilMs;
   }
 
-  /** Requests that the target has, from everybody, as far as known. */
+  /** Estimated number of requests at the target, from all instances. */
   computeOccupancy(nowMs: number): number {
     let others = 0;
-    for (const { count, atMs } of this.#peers.values()) {
+    for (const { count, atMs } of this.#peerCounts.values()) {
       others += nowMs - atMs <= PEER_VALID_MS ? count : 0;
     }
     const reportAge = nowMs - this.#report.atMs;
@@ -172,25 +201,30 @@
   }
 
   /**
-   * Work of one request there. A request that has taken longer than usual
-   * shows a target that has turned slow before any answer does.
+   * Estimated service time of one request. A request that has been running for
+   * longer than usual shows that a target has become slow before any response
+   * does.
    */
-  estimateServiceMs(nowMs: number, usualMs: number | null): number {
-    const known = this.unloadedServiceMs ?? usualMs ?? UNKNOWN_SERVICE_MS;
+  estimateServiceMs(nowMs: number, averageMs: number | null): number {
+    const known = this.unloadedServiceMs ?? averageMs ?? DEFAULT_SERVICE_MS;
     let oldest = nowMs;
     for (const startedAt of this.#startedAt.values()) {
       oldest = Math.min(oldest, startedAt);
     }
-    const waited = (nowMs - oldest) / Math.max(1, this.#startedAt.size);
-    const cold = nowMs < this.target.coldUntilMs ? COLD_FACTOR : 1;
-    return Math.max(known * cold, waited);
+    const elapsedPerRequest = (nowMs - oldest) /
+      Math.max(1, this.#startedAt.size);
+    const coldFactor = nowMs < this.target.coldUntilMs ? COLD_FACTOR : 1;
+    return Math.max(known * coldFactor, elapsedPerRequest);
   }
 
-  /** When a request that is sent now would be answered, counting failures. */
-  estimateResponseMs(nowMs: number, usualMs: number | null): number {
-    const ahead = (this.computeOccupancy(nowMs) + 1) / this.target.places;
-    const success = Math.max(MIN_SUCCESS, 1 - this.#failureShare);
-    return this.estimateServiceMs(nowMs, usualMs) * Math.max(1, ahead) /
-      success;
+  /**
+   * Estimated time to the response of a request sent now, including retries
+   * after failures.
+   */
+  estimateResponseMs(nowMs: number, averageMs: number | null): number {
+    const queueFactor = (this.computeOccupancy(nowMs) + 1) / this.target.places;
+    const successRate = Math.max(MIN_SUCCESS_RATE, 1 - this.#failureRate);
+    return this.estimateServiceMs(nowMs, averageMs) * Math.max(1, queueFactor) /
+      successRate;
   }
 }
--- a/packages/routing/src/unanswered_sends.ts
+++ b/packages/routing/src/unanswered_sends.ts
@@ -1,9 +1,11 @@
 /**
- * Sends that got no answer, until it shows whether their target ended.
+ * Keeps sends that got no response until it is known whether their target
+ * process has ended.
  *
- * A connection breaks for many reasons: a full target resets it, a link fails,
- * an answer is lost. A target that answers a later send has not ended; one whose
- * entry goes has, and so has one that nobody listens for any more.
+ * A connection breaks for many reasons: an overloaded target resets it, a link
+ * fails, a response is lost. A target that answers a later send has not ended.
+ * A target has ended if its store entry is removed, or if nothing listens at
+ * its address any more.
  */
 import type { TargetIncarnation } from "./target_incarnation.ts";
 
@@ -11,32 +13,39 @@
   readonly fingerprint: string;
   readonly target: TargetIncarnation;
   readonly sentAtMs: number;
-  /** When it broke, or was given up; own clock. */
+  /** When the send failed or timed out; this instance's clock. */
   readonly atMs: number;
 }
 
 /** A send that was answered. */
-interface Heard {
+interface AnsweredSend {
   readonly targetId: string;
   readonly sentAtMs: number;
 }
 
-/** Entries of targets that have ended go after three heartbeats, some 3 s. */
-const VALID_MS = 6_000;
-/** More than a target runs and queues. */
+/** Entries of ended targets go after three missed heartbeats (about 3 s). */
+const RETENTION_MS = 6_000;
+/** More than a target runs and queues at one time. */
 const MAX_PER_TARGET = 32;
 const MAX_TARGETS = 256;
 
 export class UnansweredSends {
   readonly #byTarget = new Map<string, UnansweredSend[]>();
-  /** The last answers of two targets, while any send is broken. */
-  #heard: readonly Heard[] = [];
+  /**
+   * The latest answered send of each of the last two targets that answered;
+   * recorded only while unanswered sends are kept.
+   */
+  #answered: readonly AnsweredSend[] = [];
 
-  /** What was sent after the first one broke came to a target that had ended. */
+  /**
+   * Records an unanswered send. Ignores a send that started after the target's
+   * first recorded failure: the target had ended by then, so that send cannot
+   * have ended it.
+   */
   record(send: UnansweredSend): void {
     const { target: { id }, sentAtMs, atMs } = send;
     const sends = (this.#byTarget.get(id) ?? [])
-      .filter((one) => atMs - one.atMs <= VALID_MS);
+      .filter((other) => atMs - other.atMs <= RETENTION_MS);
     if (sends.length > 0 && sentAtMs > sends[0]!.atMs) {
       return;
     }
@@ -46,13 +55,15 @@
     }
   }
 
-  /** The target has answered what was sent to it at this time. */
+  /** Records that the target answered a send that started at `sentAtMs`. */
   recordAnswered(targetId: string, sentAtMs: number): void {
     if (this.#byTarget.size === 0) {
       return;
     }
-    const others = this.#heard.filter((one) => one.targetId !== targetId);
-    this.#heard = [{ targetId, sentAtMs }, ...others.slice(0, 1)];
+    const others = this.#answered.filter((other) =>
+      other.targetId !== targetId
+    );
+    this.#answered = [{ targetId, sentAtMs }, ...others.slice(0, 1)];
     const sends = this.#byTarget.get(targetId);
     if (sends !== undefined) {
       this.#set(targetId, sends.filter(({ atMs }) => atMs >= sentAtMs));
@@ -60,30 +71,35 @@
   }
 
   /**
-   * No connection to the target can be made: gives what broke there. Nothing
-   * where no other target has answered since: it may be this instance's link.
+   * Removes and returns the target's unanswered sends after a connection to it
+   * could not be opened. A send stays if no other target has answered a later
+   * send: this instance's own link may be down.
    */
   takeUnreachable(targetId: string, nowMs: number): readonly UnansweredSend[] {
     return this.#take(
       targetId,
       nowMs,
       ({ atMs }) =>
-        this.#heard.some((one) =>
-          one.targetId !== targetId && one.sentAtMs >= atMs
+        this.#answered.some((other) =>
+          other.targetId !== targetId && other.sentAtMs >= atMs
         ),
     );
   }
 
-  /** The target has ended, but for a life that has just begun. */
+  /**
+   * Removes and returns the target's unanswered sends after the target has
+   * ended, except those to `newIncarnation`, which has just started.
+   */
   takeEnded(
     targetId: string,
     nowMs: number,
-    begun?: TargetIncarnation,
+    newIncarnation?: TargetIncarnation,
   ): readonly UnansweredSend[] {
     return this.#take(
       targetId,
       nowMs,
-      ({ target }) => begun === undefined || target.bornMs !== begun.bornMs,
+      ({ target }) =>
+        newIncarnation === undefined || target.bornMs !== newIncarnation.bornMs,
     );
   }
 
@@ -93,7 +109,7 @@
     hasEnded: (send: UnansweredSend) => boolean,
   ): readonly UnansweredSend[] {
     const sends = (this.#byTarget.get(targetId) ?? [])
-      .filter(({ atMs }) => nowMs - atMs <= VALID_MS);
+      .filter(({ atMs }) => nowMs - atMs <= RETENTION_MS);
     this.#set(targetId, sends.filter((send) => !hasEnded(send)));
     return sends.filter(hasEnded);
   }
--- a/packages/routing/src/wait_queue.ts
+++ b/packages/routing/src/wait_queue.ts
@@ -1,168 +1,181 @@
 /**
- * The requests that wait for one service's places at this instance, in the
- * order in which they get them, and what is known of those elsewhere.
+ * The queue of requests that wait at this instance for one service's places,
+ * and the queue lengths that peers report.
  */
 import { type AccountShare, FairScheduler } from "./fair_scheduler.ts";
 
-/** What decides about a request's turn. */
+/** The properties of a request that determine its position in the queue. */
 export interface QueuedRequest {
   readonly requestId: string;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly arrivedAtMs: number;
-  /** The only target that may run it; undefined where any may. */
+  /** The only target that may run the request; undefined if any may. */
   readonly owner?: string;
-  /** Whose it is, where accounts share the places. */
+  /** The account's share, if accounts share the places. */
   readonly share?: AccountShare;
 }
 
-/** One that waits, with what its user keeps beside it. */
-export interface QueueEntry<Request extends QueuedRequest, Extra> {
+/** A queued request, with data that the queue's user attaches to it. */
+export interface QueueEntry<Request extends QueuedRequest, Context> {
   readonly request: Request;
-  /** Its turn among requests of the same rank. */
-  readonly tag: number;
-  readonly extra: Extra;
+  /** Start tag among requests of the same priority. */
+  readonly startTag: number;
+  readonly context: Context;
 }
 
-/** Requests that wait, by the target that they wait for and by rank. */
+/** Number of queued requests, by target and priority. */
 export type QueueLengths = ReadonlyMap<string, readonly number[]>;
 
-/** What waits at a peer, or at several together. */
+/** Queue lengths of one peer or the sum over several. */
 export interface PeerQueueLengths {
   readonly counts: QueueLengths;
   readonly instances: number;
   readonly atMs: number;
 }
 
-/** Waiting requests that a peer told of are worked off or told anew after this. */
-const PEER_WAITS_VALID_MS = 1_000;
-/** Less urgent ranks are told to peers as this one. */
-const MAX_RANK = 7;
-/** The lane of requests that any target may run. */
+/**
+ * Queue lengths of a peer expire after this: by then the requests are served or
+ * the peer has reported again.
+ */
+const PEER_LENGTHS_VALID_MS = 1_000;
+/** Less urgent priorities are reported to peers as this one. */
+const LEAST_URGENT_PRIORITY = 7;
+/** Key of the queue of requests that any target may run. */
 const ANY_TARGET = "";
 
-/** Requests of one lane wait for the same places. */
+/** Requests with the same key wait for the same places. */
 export function getQueueKey({ owner }: QueuedRequest): string {
   return owner ?? ANY_TARGET;
 }
 
-export class WaitQueue<Request extends QueuedRequest, Extra> {
-  readonly #peerWaits = new Map<string, PeerQueueLengths>();
-  readonly #order = new FairScheduler();
-  #waiters: QueueEntry<Request, Extra>[] = [];
+export class WaitQueue<Request extends QueuedRequest, Context> {
+  readonly #peerLengths = new Map<string, PeerQueueLengths>();
+  readonly #scheduler = new FairScheduler();
+  #entries: QueueEntry<Request, Context>[] = [];
 
   get size(): number {
-    return this.#waiters.length;
+    return this.#entries.length;
   }
 
-  /** Those that are to get places first come first. */
-  list(): readonly QueueEntry<Request, Extra>[] {
-    return this.#waiters;
+  /** Lists the queued requests in the order in which they get places. */
+  list(): readonly QueueEntry<Request, Context>[] {
+    return this.#entries;
   }
 
-  add(request: Request, extra: Extra): void {
-    const tag = this.#order.assignStartTag(request.share);
-    const waiter = { request, tag, extra };
-    const index = this.#waiters.findIndex((other) => isBefore(waiter, other));
+  add(request: Request, context: Context): void {
+    const startTag = this.#scheduler.assignStartTag(request.share);
+    const entry = { request, startTag, context };
+    const index = this.#entries.findIndex((other) => isBefore(entry, other));
     if (index < 0) {
-      this.#waiters.push(waiter);
+      this.#entries.push(entry);
     } else {
-      this.#waiters.splice(index, 0, waiter);
+      this.#entries.splice(index, 0, entry);
     }
   }
 
   remove(requestId: string): void {
-    this.#waiters = this.#waiters
-      .filter((waiter) => waiter.request.requestId !== requestId);
+    this.#entries = this.#entries
+      .filter((entry) => entry.request.requestId !== requestId);
   }
 
-  /** Only these wait on; they are in order. */
-  setEntries(waiters: QueueEntry<Request, Extra>[]): void {
-    this.#waiters = waiters;
+  /** Replaces the queued requests; the new ones must be in order. */
+  setEntries(entries: QueueEntry<Request, Context>[]): void {
+    this.#entries = entries;
   }
 
-  /** It was given a place. */
-  recordPlaced({ tag }: QueueEntry<Request, Extra>): void {
-    this.#order.recordPlaced(tag);
+  /** Records that a queued request was placed. */
+  recordPlaced({ startTag }: QueueEntry<Request, Context>): void {
+    this.#scheduler.recordPlaced(startTag);
   }
 
-  setPeerQueueLengths(peer: string, waits: PeerQueueLengths): void {
-    this.#peerWaits.set(peer, waits);
+  setPeerQueueLengths(peer: string, lengths: PeerQueueLengths): void {
+    this.#peerLengths.set(peer, lengths);
   }
 
-  /** By lane; under the empty name those for any target. */
+  /** Counts queued requests by target; the empty name is for any target. */
   countQueued(): QueueLengths {
     const counts = new Map<string, number[]>();
-    for (const { request } of this.#waiters) {
-      const lane = getQueueKey(request);
-      const ofLane = counts.get(lane) ?? [];
-      counts.set(lane, ofLane);
-      const rank = Math.min(
-        MAX_RANK,
+    for (const { request } of this.#entries) {
+      const key = getQueueKey(request);
+      const lengths = counts.get(key) ?? [];
+      counts.set(key, lengths);
+      const priority = Math.min(
+        LEAST_URGENT_PRIORITY,
         Math.max(0, Math.floor(request.priority)),
       );
-      while (ofLane.length <= rank) {
-        ofLane.push(0);
+      while (lengths.length <= priority) {
+        lengths.push(0);
       }
-      ofLane[rank]!++;
+      lengths[priority]!++;
     }
     return counts;
   }
 
   /**
-   * Requests that would get places before this one. Those of its rank that wait
-   * at other instances count: which come first is not known. Were all ranks to
-   * count, a flood of what is least urgent would have the most urgent refused.
+   * Estimates how many requests are served before this one. Requests of the
+   * same priority at other instances count, since their order is not known.
+   * Less urgent ones must not count: a flood of the least urgent would cause
+   * the most urgent to be refused.
    */
   countAhead(request: Request, nowMs: number): number {
     let ahead = 0;
-    const own = { request, tag: this.#order.getNextStartTag(request.share) };
-    for (const waiter of this.#waiters) {
-      if (waiter.request.owner === request.owner && !isBefore(own, waiter)) {
+    const position = {
+      request,
+      startTag: this.#scheduler.getNextStartTag(request.share),
+    };
+    for (const entry of this.#entries) {
+      if (entry.request.owner === request.owner && !isBefore(position, entry)) {
         ahead++;
       }
     }
-    const peers = [...this.#peerWaits.values()]
-      .filter(({ atMs }) => nowMs - atMs <= PEER_WAITS_VALID_MS);
-    // Turns of accounts are known here only: elsewhere they stand as they do here.
+    const peers = [...this.#peerLengths.values()]
+      .filter(({ atMs }) => nowMs - atMs <= PEER_LENGTHS_VALID_MS);
+    // The start tags of peers' requests are unknown, so each peer is assumed to
+    // have as many requests ahead as this instance.
     if (request.share === undefined) {
-      return ahead + countWaitsAhead(peers, request);
+      return ahead + countPeersAhead(peers, request);
     }
-    const elsewhere = peers.reduce((sum, { instances }) => sum + instances, 0);
-    return ahead * (1 + elsewhere);
+    const peerInstances = peers.reduce(
+      (sum, { instances }) => sum + instances,
+      0,
+    );
+    return ahead * (1 + peerInstances);
   }
 }
 
-/** What waits elsewhere and is no less urgent. */
-function countWaitsAhead(
+/** Counts peers' queued requests that are at least as urgent. */
+function countPeersAhead(
   peers: readonly PeerQueueLengths[],
   request: QueuedRequest,
 ): number {
   let sum = 0;
   for (const { counts } of peers) {
-    const ofLane = counts.get(getQueueKey(request)) ?? [];
+    const lengths = counts.get(getQueueKey(request)) ?? [];
     for (
-      let rank = 0;
-      rank <= request.priority && rank < ofLane.length;
-      rank++
+      let priority = 0;
+      priority <= request.priority && priority < lengths.length;
+      priority++
     ) {
-      sum += ofLane[rank]!;
+      sum += lengths[priority]!;
     }
   }
   return sum;
 }
 
-interface Turn {
+interface QueuePosition {
   readonly request: QueuedRequest;
-  readonly tag: number;
+  readonly startTag: number;
 }
 
-/** More urgent ranks first, then the accounts' turns, then whoever came first. */
-function isBefore(left: Turn, right: Turn): boolean {
+/**
+ * More urgent priorities first, then lower start tags, then earlier arrivals.
+ */
+function isBefore(left: QueuePosition, right: QueuePosition): boolean {
   if (left.request.priority !== right.request.priority) {
     return left.request.priority < right.request.priority;
   }
-  return left.tag === right.tag
+  return left.startTag === right.startTag
     ? left.request.arrivedAtMs < right.request.arrivedAtMs
-    : left.tag < right.tag;
+    : left.startTag < right.startTag;
 }
--- a/packages/routing/src/weighted_splitter.ts
+++ b/packages/routing/src/weighted_splitter.ts
@@ -1,26 +1,26 @@
 /**
- * Divides a route's requests among its parts by their weights.
+ * Divides a route's requests among its services by weight.
  *
- * Load pattern: a few dozen requests a second at each instance. Drawn at
- * random, 100 requests of a part with weight 0.1 miss their share by a third
- * in one case of three; taking the part that lags furthest behind its share
- * keeps every run of requests within one request of it. A part that is short
- * of room keeps its share: what does not fit there is refused there.
+ * Load pattern: each instance gets a few dozen requests per second. With random
+ * selection, 100 requests of a part with weight 0.1 miss their share by a third
+ * in one case of three. Choosing the part that is furthest behind its share
+ * keeps any sequence of requests within one request of it. A part without
+ * capacity keeps its share: the excess is refused by its service.
  */
 import type { Route } from "@lentilspur/ports/routing_table";
 
 export class WeightedSplitter {
   readonly #credits = new Map<string, Map<string, number>>();
 
-  /** Picks the service for the next request of this route. */
+  /** Chooses the service for the next request of this route. */
   choose(route: Route): string {
-    const [only] = route.parts;
-    if (route.parts.length === 1 && only !== undefined) {
-      return only.service;
+    const [onlyPart] = route.parts;
+    if (route.parts.length === 1 && onlyPart !== undefined) {
+      return onlyPart.service;
     }
     const credits = this.#getCredits(route.name);
     let total = 0;
-    let best = only!;
+    let best = onlyPart!;
     for (const part of route.parts) {
       const credit = (credits.get(part.service) ?? 0) + part.weight;
       credits.set(part.service, credit);
@@ -33,14 +33,14 @@
     return best.service;
   }
 
-  /** Weights may have changed: shares are counted anew. */
+  /** Resets the shares, since the weights may have changed. */
   reset(): void {
     this.#credits.clear();
   }
 
   #getCredits(route: string): Map<string, number> {
-    const known = this.#credits.get(route) ?? new Map<string, number>();
-    this.#credits.set(route, known);
-    return known;
+    const credits = this.#credits.get(route) ?? new Map<string, number>();
+    this.#credits.set(route, credits);
+    return credits;
   }
 }
--- a/packages/routing/src/weighted_splitter_test.ts
+++ b/packages/routing/src/weighted_splitter_test.ts
@@ -26,11 +26,11 @@
       }),
       (weights) => {
         const route = createRoute(weights);
-        const balance = new WeightedSplitter();
+        const splitter = new WeightedSplitter();
         const total = weights.reduce((sum, weight) => sum + weight, 0);
         const counts = new Map<string, number>();
         for (let sent = 1; sent <= 300; sent++) {
-          const service = balance.choose(route);
+          const service = splitter.choose(route);
           counts.set(service, (counts.get(service) ?? 0) + 1);
           for (const { service: name, weight } of route.parts) {
             const share = sent * weight / total;
