--- a/packages/ownership/src/decaying_counters.ts
+++ b/packages/ownership/src/decaying_counters.ts
@@ -1,20 +1,23 @@
-/** Counts that fade with time, for as many names as are in use. */
+/** Counters with exponential decay, one per name. */
 
-/** Counts grow with time instead of fading each; past this they are scaled back. */
+/**
+ * Instead of decaying all counters, later observations get a higher weight.
+ * Once the weight exceeds this, all counters are divided by it.
+ */
 const MAX_SCALE = 1e6;
-/** A count that has faded below this is dropped. */
+/** A counter that has decayed below this is removed. */
 const MIN_COUNT = 1e-2;
 
 export class DecayingCounters {
-  readonly #fadeMs: number;
+  readonly #timeConstantMs: number;
   readonly #counts = new Map<number, number>();
   #scale = 1;
   #updatedAtMs: number | null = null;
   #startedAtMs: number | null = null;
 
-  /** A count loses all but 1/e of its weight in `fadeMs`. */
-  constructor(fadeMs: number) {
-    this.#fadeMs = fadeMs;
+  /** A counter decays to 1/e of its value within `timeConstantMs`. */
+  constructor(timeConstantMs: number) {
+    this.#timeConstantMs = timeConstantMs;
   }
 
   observe(names: readonly number[], nowMs: number): void {
@@ -25,7 +28,7 @@
     }
   }
 
-  /** Observations a second of each name. */
+  /** Observations per second of each name. */
   listRates(nowMs: number): ReadonlyMap<number, number> {
     this.#advance(nowMs);
     const perSecond = 1_000 / this.#computeWindowMs(nowMs) / this.#scale;
@@ -40,17 +43,17 @@
     return rates;
   }
 
-  /** Right after the start, less than a whole window has been counted. */
+  /** Length of the averaging window, which is shorter soon after the start. */
   #computeWindowMs(nowMs: number): number {
     const ageMs = nowMs - (this.#startedAtMs ?? nowMs);
-    const share = 1 - Math.exp(-ageMs / this.#fadeMs);
-    return Math.max(MIN_WINDOW_MS, this.#fadeMs * share);
+    const share = 1 - Math.exp(-ageMs / this.#timeConstantMs);
+    return Math.max(MIN_WINDOW_MS, this.#timeConstantMs * share);
   }
 
   #advance(nowMs: number): void {
     const elapsedMs = Math.max(0, nowMs - (this.#updatedAtMs ?? nowMs));
     this.#updatedAtMs = Math.max(nowMs, this.#updatedAtMs ?? nowMs);
-    this.#scale *= Math.exp(elapsedMs / this.#fadeMs);
+    this.#scale *= Math.exp(elapsedMs / this.#timeConstantMs);
     if (this.#scale > MAX_SCALE) {
       this.#applyScale();
     }
@@ -64,5 +67,5 @@
   }
 }
 
-/** The first observations say too little for a rate of their own. */
+/** Minimum window, since a few observations do not give a reliable rate. */
 const MIN_WINDOW_MS = 500;
--- a/packages/ownership/src/hold_tracker.ts
+++ b/packages/ownership/src/hold_tracker.ts
@@ -1,16 +1,18 @@
 /**
- * Until when each target may hold which keys, by the grants that one keeper
- * has sent.
+ * Tracks until when each target may hold which keys, based on the grants that
+ * one keeper has sent.
  *
- * Guards against a second owner: a target that cannot be reached goes on
- * serving its keys until its hold runs out, and a grant that was given up on
- * may be carried out seconds later, even after a release was answered.
+ * This prevents a second owner: an unreachable target goes on serving its keys
+ * until its hold expires, and a grant whose order has timed out may be carried
+ * out seconds later, even after the target answered a release.
  */
 import { hasOverlap, type KeyRange } from "@lentilspur/ports/key_orders";
 
-/** A target's clock may run 2 % slow, so a hold lasts this much longer there. */
+/** A target's clock may run 2% slow, so its hold may last this much longer. */
 const CLOCK_DRIFT = 1.02;
-/** A grant is on its way for at most this long before its connection is reset. */
+/**
+ * A grant is in flight for at most this long before its connection is reset.
+ */
 const TRAVEL_MS = 400;
 
 interface SentGrant extends KeyRange {
@@ -19,18 +21,21 @@
   answered: boolean;
 }
 
-/** What is told of a grant once its order has ended. */
+/** Records how the order of a grant ended. */
 export interface GrantRecord {
-  /** The target has answered; it arrived before that. */
+  /** The target has answered, so the grant arrived before `atMs`. */
   recordAnswered(atMs: number): void;
-  /** Not a byte of it left: it is as if it had never been. */
+  /** Not a byte was sent, so the grant can never take effect. */
   recordUnsent(): void;
 }
 
 export class HoldTracker {
   #grants: SentGrant[] = [];
 
-  /** Records a grant before it is sent. Untold, it counts as unanswered. */
+  /**
+   * Records a grant before it is sent. The grant counts as unanswered until its
+   * outcome is recorded.
+   */
   recordSent(
     targetId: string,
     range: KeyRange,
@@ -57,23 +62,23 @@
     };
   }
 
-  /** When the target can hold none of these keys any more without a renewal. */
+  /** When the target can no longer hold any of these keys without a renewal. */
   computeEndMs(targetId: string, range: KeyRange): number {
     return this.#computeLatest(targetId, range, () => true);
   }
 
-  /** When no grant that was given up on can have any effect any more. */
+  /** When no unanswered grant of these keys can take effect any more. */
   computeUnansweredEndMs(targetId: string, range: KeyRange): number {
     return this.#computeLatest(targetId, range, (grant) => !grant.answered);
   }
 
-  /** Whether any grant that was given up on could still take effect. */
+  /** Whether an unanswered grant can still take effect. */
   hasUnanswered(nowMs: number): boolean {
     return this.#grants
       .some((grant) => !grant.answered && grant.endsAtMs > nowMs);
   }
 
-  /** Forgets grants whose holds have run out. */
+  /** Removes grants whose holds have expired. */
   expire(nowMs: number): void {
     this.#grants = this.#grants.filter((grant) => grant.endsAtMs > nowMs);
   }
@@ -96,7 +101,9 @@
   }
 }
 
-/** The end of a hold whose grant left, or was given up, at `sentAtMs`. */
+/**
+ * The latest end of a hold whose grant was sent, or timed out, at `sentAtMs`.
+ */
 export function computeHoldEndMs(sentAtMs: number, holdMs: number): number {
   return sentAtMs + TRAVEL_MS + holdMs * CLOCK_DRIFT;
 }
--- a/packages/ownership/src/initial_distribution_test.ts
+++ b/packages/ownership/src/initial_distribution_test.ts
@@ -18,17 +18,23 @@
 const SPEEDS = [0.7, 0.7, 1.6];
 const STEP_MS = 50;
 const REQUESTS_PER_STEP = 12;
-/** Between two plans, and until what a plan moves has arrived. */
+/**
+ * Interval between two plans, and the time until the moves of a plan are
+ * complete.
+ */
 const PLAN_EVERY_MS = 400;
 const MOVE_MS = 250;
-/** A request that would wait longer is refused. */
+/** A request that would wait longer is rejected. */
 const MAX_WAIT_MS = 270;
-/** Where the busy keys begin; the n-th of them is asked for by n^-0.63. */
+/**
+ * First of the busy keys; the rate of the n-th busy key is proportional to
+ * n^-0.63.
+ */
 const BUSIEST_KEY = 59_505;
 
 interface Outcome {
-  readonly asked: number;
-  readonly refused: number;
+  readonly requested: number;
+  readonly rejected: number;
 }
 
 function createCandidates(): readonly OwnerCandidate[] {
@@ -40,7 +46,9 @@
   }));
 }
 
-/** Keys as callers ask for them; the same sequence every time. */
+/**
+ * Keys in the order in which callers request them; always the same sequence.
+ */
 function createDraw(): () => number {
   let state = 4_711;
   return () => {
@@ -50,7 +58,10 @@
   };
 }
 
-/** Plays two seconds of callers against a first table; what they get. */
+/**
+ * Simulates two seconds of requests, beginning with the given table, and counts
+ * the rejected ones.
+ */
 function runLoad(first: KeyTable): Outcome {
   const candidates = createCandidates();
   const speeds = new Map(candidates.map((one) => [one.id, one.serviceMs]));
@@ -58,17 +69,17 @@
   const load = new KeyLoad();
   const draw = createDraw();
   let table = first;
-  let coming: { readonly table: KeyTable; readonly atMs: number } | undefined;
-  let refused = 0;
-  let asked = 0;
+  let pending: { readonly table: KeyTable; readonly atMs: number } | undefined;
+  let rejected = 0;
+  let requested = 0;
   for (let nowMs = 0; nowMs < 2_000; nowMs += STEP_MS) {
     const keys = Array.from({ length: REQUESTS_PER_STEP }, draw);
     for (const key of keys) {
       const { id } = findRange(table, key)!.owner;
       const before = backlogMs.get(id) ?? 0;
-      asked++;
+      requested++;
       if (before / PLACES > MAX_WAIT_MS) {
-        refused++;
+        rejected++;
       } else {
         backlogMs.set(id, before + speeds.get(id)!);
       }
@@ -77,35 +88,40 @@
       backlogMs.set(id, Math.max(0, ms - PLACES * STEP_MS));
     }
     load.observe(keys, nowMs);
-    if (coming !== undefined && nowMs >= coming.atMs) {
-      table = coming.table;
-      coming = undefined;
+    if (pending !== undefined && nowMs >= pending.atMs) {
+      table = pending.table;
+      pending = undefined;
     }
-    if (nowMs > 0 && nowMs % PLAN_EVERY_MS === 0 && coming === undefined) {
+    if (nowMs > 0 && nowMs % PLAN_EVERY_MS === 0 && pending === undefined) {
       const changes = planReassignments(
         table,
         candidates,
         load.listRates(nowMs),
       );
       const next = applyReassignments(table, changes, nowMs);
-      coming = { table: settleRanges(next, () => true), atMs: nowMs + MOVE_MS };
+      pending = {
+        table: settleRanges(next, () => true),
+        atMs: nowMs + MOVE_MS,
+      };
     }
   }
-  return { asked, refused };
+  return { requested, rejected };
 }
 
-test("callers of a first morning are served from the first second", () => {
-  // Callers come 8 s after the targets; half of them ask for keys that lie side
-  // by side. While one target owned all keys, or each one wide stretch, most
-  // were refused in the first 2 s: the busy keys spread by a dozen moves a plan.
-  // Played here: 6 % are refused, and 34 % where one target owns all keys.
+test("the first callers after a start are served from the first second", () => {
+  // Callers arrive 8 s after the targets, half for adjacent keys. With one
+  // owner or a wide range per owner, most were rejected for 2 s, since a plan
+  // makes a dozen moves. Simulated: 34% with one owner, 6% with even ranges.
   const candidates = createCandidates();
-  const dealt = runLoad(createTable(candidates, 1));
-  const alone = runLoad(createTable(candidates.slice(0, 1), 1));
-  const share = ({ asked, refused }: Outcome) => refused / asked;
-  assert.ok(share(dealt) < 0.1, `${share(dealt)} refused when dealt out`);
+  const distributed = runLoad(createTable(candidates, 1));
+  const singleOwner = runLoad(createTable(candidates.slice(0, 1), 1));
+  const share = ({ requested, rejected }: Outcome) => rejected / requested;
   assert.ok(
-    share(alone) > 3 * share(dealt),
-    `${share(alone)} refused with one owner`,
+    share(distributed) < 0.1,
+    `share of ${share(distributed)} rejected with keys distributed evenly`,
+  );
+  assert.ok(
+    share(singleOwner) > 3 * share(distributed),
+    `share of ${share(singleOwner)} rejected with one owner`,
   );
 });
--- a/packages/ownership/src/keeper_records.ts
+++ b/packages/ownership/src/keeper_records.ts
@@ -1,8 +1,11 @@
-/** The keys and contents of the records in which the table of owners is kept. */
+/** Keys and contents of the store records that hold the ownership table. */
 
 /** Key of the record that names the keeper. */
 export const KEEPER_KEY = "keeper";
-/** Key of the record that names those whom the keeper asks for pledges. */
+/**
+ * Key of the record that lists the witnesses, which the keeper asks for
+ * pledges.
+ */
 export const WITNESSES_KEY = "witnesses";
 export const TABLE_PREFIX = "table/";
 
@@ -10,41 +13,47 @@
   return `${TABLE_PREFIX}${service}`;
 }
 
-/** What the keeper's record says. */
+/** Content of the record that names the keeper. */
 export interface KeeperClaim {
   readonly instance: string;
-  /** Drawn anew at each start of the process. */
+  /** Generated anew at each start of the process. */
   readonly incarnation: string;
-  /** It has stopped, and none of its orders is without an answer. */
+  /**
+   * Whether the keeper has stopped and all of its orders have been answered.
+   */
   readonly resigned?: boolean;
-  /** Earlier keepers that may act yet, as far as is known to this one. */
+  /** Earlier keepers that, as far as this keeper can tell, may still act. */
   readonly unresolved?: readonly UnresolvedKeeper[];
 }
 
-/** A keeper that was replaced and may not know it. */
+/** A replaced keeper that may not have noticed its replacement. */
 export interface UnresolvedKeeper {
   readonly instance: string;
   readonly incarnation: string;
   /** Offset of its claim; one incarnation may claim several times. */
   readonly term: number;
-  /** Those whom it asks for pledges. */
+  /** Incarnations that this keeper asks for pledges. */
   readonly witnesses: readonly string[];
 }
 
 /**
- * Without the store a keeper acts only while each of these has pledged to wait.
- * So one that is named here knows for how long an unreachable keeper may act.
+ * The witnesses of a keeper. Without the store, the keeper acts only while each
+ * of them has pledged to wait before taking over, so a witness can tell for how
+ * long an unreachable keeper may act.
  */
 export interface KeeperWitnesses {
-  /** Of the keeper that wrote it. */
+  /** Term of the keeper that wrote the record. */
   readonly term: number;
-  /** Each as `formatIncarnation` gives it. */
+  /** Incarnations of the witnesses, formatted by `formatIncarnation`. */
   readonly instances: readonly string[];
-  /** As in the claim, as of now. */
+  /** As in `KeeperClaim`, at the time this record was written. */
   readonly unresolved: readonly UnresolvedKeeper[];
 }
 
-/** A restart is another one: it must not be taken for the one before. */
+/**
+ * Identifies one run of an instance, so that a restarted instance is not
+ * mistaken for its previous run.
+ */
 export function formatIncarnation(
   { instance, incarnation }: Pick<KeeperClaim, "instance" | "incarnation">,
 ): string {
--- a/packages/ownership/src/keeper_timing.ts
+++ b/packages/ownership/src/keeper_timing.ts
@@ -1,48 +1,55 @@
-/** The times by which keepers of keys act, in one place and with their grounds. */
+/** Timeouts and intervals of the keepers, with the reasons for their values. */
 
 export interface KeeperTiming {
   /**
-   * A target holds its keys for this long after a renewal. Short, so that a
-   * lost target's keys are served again within about 5 s (1.2 s until it counts
-   * as silent, 0.8 s for the last order, the hold); long enough to outlive the
-   * loss of a keeper, which takes 2.1 s to be replaced.
+   * How long a target holds its keys after a renewal. Short enough that a lost
+   * target's keys are served again within about 5 s (1.2 s until the target
+   * counts as unresponsive, 0.8 s for the last order, then the hold). Long
+   * enough to outlast the replacement of a lost keeper, which takes 2.1 s.
    */
   readonly holdMs: number;
-  /** Three renewals may fail before a hold runs out. */
+  /** Three renewals may fail before a hold expires. */
   readonly renewIntervalMs: number;
-  /** An order that has no answer after this is given up and sent anew. */
+  /**
+   * An order without a response after this time has timed out and is sent
+   * again.
+   */
   readonly orderTimeoutMs: number;
-  /** A release waits for running work, of which the longest takes about 1 s. */
+  /**
+   * A release waits for running requests, the longest of which take about 1 s.
+   */
   readonly releaseTimeoutMs: number;
-  /** Between two orders for one range that did not succeed. */
+  /** Interval between two orders for one range while they fail. */
   readonly retryIntervalMs: number;
   /**
-   * For so long without the store a keeper acts on its own. A successor that
-   * knows nothing of it waits this out, besides the hold; a read of the
-   * partition is held open for 0.6 s, so in calm times the last one is about that
-   * old, and one may be lost.
+   * How long a keeper may act without the store and without pledges. A
+   * successor that has no information about the keeper waits for this time and
+   * the hold. A read of the partition is held open for 0.6 s, so the last
+   * confirmation is normally about that old, and one read may be lost.
    */
   readonly authorityMs: number;
   /**
-   * Beyond that it acts while every witness has pledged within this time to let
-   * it. Longer than an instance takes to start again after it was killed (5 s),
-   * so that one such does not end all keys in an outage.
+   * After `authorityMs`, a keeper may act only while every witness has pledged
+   * within this time to let it act. Longer than the 5 s that a killed instance
+   * takes to restart, so that one such instance does not end the serving of all
+   * keys during a store outage.
    */
   readonly pledgeMs: number;
   /**
-   * And no longer than this in any case. A successor that was never asked for
-   * a pledge waits this out. It covers an outage of the store of this length.
+   * A keeper never acts without the store for longer than this, which is also
+   * the longest store outage that it bridges. A successor that was never asked
+   * for a pledge waits for this time.
    */
   readonly maxAuthorityMs: number;
-  /** A target whose orders have failed for this long is relieved of its keys. */
+  /** A target whose orders have failed for this long loses its keys. */
   readonly unresponsiveAfterMs: number;
   /**
-   * The keys of a service are dealt out once no target has joined for this long,
-   * or when they are asked for. Targets that start together write their first
-   * entries within a heartbeat interval of each other, about 1 s.
+   * The keys of a service are first distributed once no target has joined for
+   * this long, or once a key is requested. Targets that start together write
+   * their first entries within one heartbeat interval of each other, about 1 s.
    */
   readonly distributeAfterMs: number;
-  /** Between two looks at who should own what. */
+  /** Interval between two plans of the ownership tables. */
   readonly planIntervalMs: number;
 }
 
@@ -60,7 +67,7 @@
   planIntervalMs: 400,
 };
 
-/** The hold that a target accepts may be shorter than the one wished for. */
+/** Limits the hold to `maxHoldMs`, the longest hold that targets accept. */
 export function resolveKeeperTiming(maxHoldMs: number): KeeperTiming {
   const holdMs = Math.min(DEFAULT_KEEPER_TIMING.holdMs, maxHoldMs);
   const renewEveryMs = Math.min(
--- a/packages/ownership/src/key_keeper.ts
+++ b/packages/ownership/src/key_keeper.ts
@@ -1,11 +1,12 @@
 /**
- * One instance's time as the keeper of a partition of the table of owners.
+ * Runs one instance's term as the keeper of a partition of the ownership table.
  *
- * The partition is the only arbiter. A keeper's claim is a record there; its
- * offset is the keeper's term. Every later record is appended on the condition
- * that the partition ends where this keeper last wrote, so one that has been
- * replaced can write nothing more; and the offset of a record, known before it
- * is appended, is the fencing token of what the record assigns.
+ * Only the partition decides which instance is the keeper. A keeper's claim is
+ * a record in the partition, and the offset of the claim is the keeper's term.
+ * The keeper appends each later record on the condition that the partition
+ * still ends where the keeper last wrote, so a replaced keeper can write
+ * nothing more. The offset of a record, which is known before the append, is
+ * the fencing token of the ranges that the record assigns.
  */
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import type { Clock } from "@lentilspur/ports/clock";
@@ -42,13 +43,14 @@
 import { type ServiceSnapshot, TablePlanner } from "./table_planner.ts";
 
 /**
- * What is known of the keeper before. `none`: there was none. `resigned`: it has
- * stopped, and none of its orders is on its way. `ended`: it has stopped, and
- * may have orders on their way. `unknown`: it may live and act.
+ * State of the previous keeper. `none`: there was none. `resigned`: it has
+ * stopped, and none of its orders is in flight. `ended`: it has stopped, but
+ * its orders may be in flight. `unknown`: it may still be running and sending
+ * orders.
  */
 export interface PredecessorState {
   readonly kind: "none" | "resigned" | "ended" | "unknown";
-  /** None of its orders leaves after this; own clock. */
+  /** The previous keeper sends no order after this time; local clock. */
   readonly lastOrderAtMs: number;
 }
 
@@ -82,66 +84,78 @@
   readonly orders: KeyOrderSender;
   readonly partition: Partition;
   readonly timing: KeeperTiming;
-  /** Offset of the claim. */
+  /** Offset of this keeper's claim. */
   readonly term: number;
-  /** When the claim was sent, which is what it confirms; own clock. */
+  /**
+   * When the claim was sent. Its acceptance confirms the keeper as of this
+   * time; local clock.
+   */
   readonly claimSentAtMs: number;
   readonly claim: KeeperClaim;
-  /** Tables as they stood when the claim was accepted. */
+  /** Tables at the time when the claim was accepted. */
   readonly tables: ReadonlyMap<string, KeyTable>;
-  /** What is known by now of the keeper before this one. */
+  /** The previous keeper, as far as its state is known now. */
   readonly getPredecessor: () => PredecessorState;
   readonly listServiceSnapshots: () => readonly ServiceSnapshot[];
   readonly hasEnded: (holder: Holder) => boolean;
-  /** Incarnations that are to be named as witnesses, in a fixed order. */
+  /** Incarnations to record as witnesses, in a fixed order. */
   readonly listWitnesses: () => readonly string[];
-  /** Earlier keepers that may act yet. */
+  /** Earlier keepers that may still act. */
   readonly listUnresolved: () => readonly UnresolvedKeeper[];
-  /** Whether every witness lets this keeper act without the store. */
+  /**
+   * Whether every witness has pledged to let this keeper act without the store.
+   */
   readonly hasPledges: () => boolean;
-  /** When a read last showed that no newer claim stands; own clock. */
+  /** When a read last showed that there is no newer claim; local clock. */
   readonly getConfirmedAtMs: () => number;
-  /** What was confirmed before this time does not count; own clock. */
+  /** Confirmations from before this time are ignored; local clock. */
   readonly getTrustedSinceMs: () => number;
   readonly observe: (event: KeeperEvent) => void;
-  /** Told of each record that was accepted. */
+  /** Called with each record that the store has accepted. */
   readonly onAppended?: (record: StoreRecord) => void;
   /**
-   * Told where the partition ends once that had to be read: a table may stand
-   * there whose answer was lost, so that nobody has been told of it.
+   * Called with the end of the partition after the keeper had to read it: the
+   * partition may contain a table that was never announced, because the
+   * response to its append was lost.
    */
   readonly onRestored?: (end: number) => void;
-  /** Told of each table that was written, after its record was accepted. */
+  /** Called with each table after the store has accepted its record. */
   readonly onTableWritten?: (written: {
     readonly service: string;
     readonly offset: number;
     readonly before: KeyTable | undefined;
     readonly after: KeyTable;
   }) => void;
-  /** Told of each range that has reached its new owner, before a record says so. */
+  /**
+   * Called with each range that has been granted to its new owner, before this
+   * is recorded in the store.
+   */
   readonly onGranted?: (granted: GrantedRange) => void;
 }
 
-/** A range whose new owner has been granted it. */
+/** A range that has been granted to its new owner. */
 export interface GrantedRange {
   readonly service: string;
   readonly range: OwnedRange;
 }
 
-/** A call has a price; a hold outlives several of these. */
-const REGAIN_EVERY_MS = 500;
-/** A store that has just refused an append is left alone for this long. */
-const REFUSED_PAUSE_MS = 250;
 /**
- * Moves that have ended are recorded with the next plan, or after this where
- * there is none; instances have been told of each already. Appends have a price:
- * recorded every 300 ms they were half of a keeper's five a second.
+ * Each store call has a cost, and a hold outlasts several of these intervals.
+ */
+const CONFIRM_INTERVAL_MS = 500;
+/** Pause after a failed append before the next one. */
+const APPEND_BACKOFF_MS = 250;
+/**
+ * Completed moves are recorded with the next plan, or after this time if there
+ * is none; instances have already been notified of each move. Each append has a
+ * cost: recorded every 300 ms, completed moves were half of a keeper's five
+ * appends per second.
  */
-const SETTLED_EVERY_MS = 1_000;
-/** Between two looks at what is due. */
+const SETTLE_INTERVAL_MS = 1_000;
+/** Interval of the keeper's main loop. */
 const TICK_MS = 50;
-/** Instances that start or end one after the other are named together. */
-const WITNESSES_EVERY_MS = 1_000;
+/** Instances that start or end shortly after each other share one record. */
+const WITNESSES_INTERVAL_MS = 1_000;
 
 export class KeyKeeper {
   readonly #options: KeyKeeperOptions;
@@ -149,11 +163,11 @@
   readonly #reconcilers = new Map<string, TableReconciler>();
   readonly #stop = new AbortController();
   readonly #planner: TablePlanner;
-  #end: number;
-  #contactAtMs: number;
-  #witnesses = "";
-  /** Incarnations that the newest record may name. */
-  #named: ReadonlySet<string> = new Set();
+  #endOffset: number;
+  #lastContactAtMs: number;
+  #writtenWitnesses = "";
+  /** Incarnations that the newest record of witnesses may list. */
+  #namedWitnesses: ReadonlySet<string> = new Set();
   #nextWitnessesAtMs = 0;
   #nextAppendAtMs = -Infinity;
   #nextSettledAtMs = -Infinity;
@@ -163,8 +177,8 @@
   constructor(options: KeyKeeperOptions) {
     this.#options = options;
     this.#planner = new TablePlanner(options.clock, options.timing);
-    this.#end = options.term + 1;
-    this.#contactAtMs = options.claimSentAtMs;
+    this.#endOffset = options.term + 1;
+    this.#lastContactAtMs = options.claimSentAtMs;
     for (const [service, table] of options.tables) {
       this.#setTable(service, table);
     }
@@ -179,13 +193,13 @@
     return this.#stop.signal.aborted;
   }
 
-  /** Runs until it is replaced or stopped. Never rejects. */
+  /** Runs until the keeper is replaced or stopped. Never rejects. */
   async run(): Promise<void> {
     const { clock, timing } = this.#options;
     while (!this.hasStopped) {
       const nowMs = clock.readMs();
-      for (const keeper of this.#reconcilers.values()) {
-        keeper.advance();
+      for (const reconciler of this.#reconcilers.values()) {
+        reconciler.advance();
       }
       if (nowMs >= this.#nextPlanAtMs && this.#mayAct()) {
         this.#nextPlanAtMs = nowMs + timing.planIntervalMs;
@@ -200,12 +214,14 @@
     }
   }
 
-  /** Plans at the next look: targets have changed. */
+  /**
+   * Makes the next iteration of the main loop plan, because targets changed.
+   */
   schedulePlan(): void {
     this.#nextPlanAtMs = 0;
   }
 
-  /** A newer claim stands: not one order more. */
+  /** Stops the keeper, which then sends no more orders. */
   stop(why: "replaced" | "asked"): void {
     if (!this.hasStopped) {
       this.#stop.abort();
@@ -213,7 +229,10 @@
     }
   }
 
-  /** Tells the successor that it need not wait for anything of this keeper. */
+  /**
+   * Stops and, if no order can take effect late, records a resignation, so that
+   * the successor need not wait for this keeper.
+   */
   async leave(): Promise<void> {
     this.stop("asked");
     const { clock, timing, claim } = this.#options;
@@ -227,22 +246,23 @@
     }
   }
 
-  /** When the store last confirmed this keeper; own clock. */
+  /** When the store last confirmed this keeper; local clock. */
   get confirmedAtMs(): number {
-    return Math.max(this.#contactAtMs, this.#options.getConfirmedAtMs());
+    return Math.max(this.#lastContactAtMs, this.#options.getConfirmedAtMs());
   }
 
-  /** Whether none of its grants may be carried out unseen any more. */
+  /** Whether none of its unanswered grants can take effect any more. */
   get isClean(): boolean {
     return [...this.#reconcilers.values()]
-      .every((keeper) => !keeper.hasUnanswered());
+      .every((reconciler) => !reconciler.hasUnanswered());
   }
 
   /**
-   * Asked before each order. Without the store for long, another keeper may
-   * have been claimed and its waiting time may be over. Whoever claims and was
-   * asked for pledges has refused or waits until its last one has run out;
-   * whoever was never asked waits `maxAuthorityMs`.
+   * Checked before each order. After a long time without the store, another
+   * keeper may have claimed the partition, and its waiting time may be over. A
+   * successor that was asked for pledges has refused them or waits until its
+   * last pledge has expired; a successor that was never asked waits for
+   * `maxAuthorityMs`.
    */
   #mayAct(): boolean {
     const { clock, timing, getTrustedSinceMs, hasPledges } = this.#options;
@@ -255,23 +275,26 @@
       (ageMs < timing.maxAuthorityMs && hasPledges());
   }
 
-  /** Asks the store whether this keeper still stands, as often as is useful. */
+  /**
+   * Reads the store at limited intervals to confirm that there is no newer
+   * claim.
+   */
   async #regainAuthority(): Promise<void> {
     const { clock } = this.#options;
     if (clock.readMs() >= this.#nextRegainAtMs) {
-      this.#nextRegainAtMs = clock.readMs() + REGAIN_EVERY_MS;
+      this.#nextRegainAtMs = clock.readMs() + CONFIRM_INTERVAL_MS;
       await this.#restoreFromStore();
     }
   }
 
   #setTable(service: string, table: KeyTable): void {
     this.#tables.set(service, table);
-    let keeper = this.#reconcilers.get(service);
-    if (keeper === undefined) {
-      keeper = this.#createReconciler(service);
-      this.#reconcilers.set(service, keeper);
+    let reconciler = this.#reconcilers.get(service);
+    if (reconciler === undefined) {
+      reconciler = this.#createReconciler(service);
+      this.#reconcilers.set(service, reconciler);
     }
-    keeper.setTable(table);
+    reconciler.setTable(table);
   }
 
   #createReconciler(service: string): TableReconciler {
@@ -291,7 +314,7 @@
     });
   }
 
-  /** What may still be in force of the grants of keepers before. */
+  /** Grants of earlier keepers that may still be in force. */
   #describeInherited(): InheritedGrants {
     const { timing, getPredecessor } = this.#options;
     const { kind, lastOrderAtMs } = getPredecessor();
@@ -302,10 +325,10 @@
   }
 
   /**
-   * Whether a key can be moved without a long wait. Until the grants of a keeper
-   * that was lost have run out, each move leaves its keys unserved for a hold:
-   * 3.5 s, in which a fifth of all requests was refused where an overloaded
-   * owner would have refused a twentieth.
+   * Whether a key can be moved without a long wait. Until the grants of a lost
+   * keeper have expired, each move leaves its keys unserved for a hold: 3.5 s,
+   * in which a fifth of all requests was rejected, where an overloaded owner
+   * would have rejected a twentieth.
    */
   #hasFastMoves(): boolean {
     const { isClean, untilMs } = this.#describeInherited();
@@ -313,12 +336,12 @@
   }
 
   async #plan(): Promise<void> {
-    for (const facts of this.#options.listServiceSnapshots()) {
-      const { service } = facts;
-      const plan = this.#planner.plan(facts, {
+    for (const snapshot of this.#options.listServiceSnapshots()) {
+      const { service } = snapshot;
+      const plan = this.#planner.plan(snapshot, {
         table: this.#tables.get(service),
         reconciler: this.#reconcilers.get(service),
-        token: this.#end,
+        token: this.#endOffset,
         rebalance: this.#hasFastMoves(),
       });
       if (plan !== undefined) {
@@ -332,7 +355,7 @@
     next: KeyTable,
     changes: number,
   ): Promise<void> {
-    const token = this.#end;
+    const token = this.#endOffset;
     if (await this.#appendTable(service, next)) {
       this.#options.observe({
         kind: "planned",
@@ -344,49 +367,54 @@
     }
   }
 
-  /** Names those whom this keeper will ask for pledges. */
+  /** Records the incarnations that this keeper asks for pledges. */
   async #writeWitnesses(): Promise<void> {
     const { clock, term, listWitnesses, listUnresolved } = this.#options;
     const nowMs = clock.readMs();
     if (nowMs < this.#nextWitnessesAtMs || !this.#mayAct()) {
       return;
     }
-    this.#nextWitnessesAtMs = nowMs + WITNESSES_EVERY_MS;
+    this.#nextWitnessesAtMs = nowMs + WITNESSES_INTERVAL_MS;
     const instances = listWitnesses();
     const unresolved = listUnresolved();
     const record: KeeperWitnesses = { term, instances, unresolved };
     const text = JSON.stringify(record);
-    if (text === this.#witnesses) {
+    if (text === this.#writtenWitnesses) {
       return;
     }
-    // Until the store has taken it, either record may be the newest.
-    this.#named = new Set([...this.#named, ...instances]);
+    // Until the store has confirmed the append, either record may be the
+    // newest.
+    this.#namedWitnesses = new Set([...this.#namedWitnesses, ...instances]);
     if (await this.#append(WITNESSES_KEY, text)) {
-      this.#witnesses = text;
-      this.#named = new Set(instances);
+      this.#writtenWitnesses = text;
+      this.#namedWitnesses = new Set(instances);
     }
   }
 
-  /** Incarnations that a successor may find named as this keeper's witnesses. */
+  /**
+   * Incarnations that a successor may find recorded as this keeper's witnesses.
+   */
   listNamedWitnesses(): readonly string[] {
-    return [...this.#named];
+    return [...this.#namedWitnesses];
   }
 
-  /** Tells everybody which ranges have reached their new owners. */
+  /** Records which ranges have been granted to their new owners. */
   async #writeSettled(): Promise<void> {
     const nowMs = this.#options.clock.readMs();
     if (nowMs < this.#nextSettledAtMs) {
       return;
     }
     for (const [service, table] of this.#tables) {
-      const keeper = this.#reconcilers.get(service)!;
-      const isNews = table.ranges
-        .some((range) => range.former.length > 0 && keeper.isSettled(range));
-      if (!isNews || !this.#mayAct()) {
+      const reconciler = this.#reconcilers.get(service)!;
+      const hasCompletedMoves = table.ranges
+        .some((range) =>
+          range.former.length > 0 && reconciler.isSettled(range)
+        );
+      if (!hasCompletedMoves || !this.#mayAct()) {
         continue;
       }
-      const next = settleRanges(table, (range) => keeper.isSettled(range));
-      const offset = this.#end;
+      const next = settleRanges(table, (range) => reconciler.isSettled(range));
+      const offset = this.#endOffset;
       if (await this.#appendTable(service, next)) {
         this.#options.observe({ kind: "settled", service, offset });
       }
@@ -394,13 +422,13 @@
   }
 
   async #appendTable(service: string, after: KeyTable): Promise<boolean> {
-    const offset = this.#end;
+    const offset = this.#endOffset;
     const before = this.#tables.get(service);
     const key = formatTableKey(service);
     if (!await this.#append(key, serializeTable(after))) {
       return false;
     }
-    this.#nextSettledAtMs = this.#options.clock.readMs() + SETTLED_EVERY_MS;
+    this.#nextSettledAtMs = this.#options.clock.readMs() + SETTLE_INTERVAL_MS;
     this.#setTable(service, after);
     this.#reconcilers.get(service)!.advance();
     this.#options.onTableWritten?.({ service, offset, before, after });
@@ -417,11 +445,11 @@
       partition,
       key,
       value,
-      at: this.#end,
+      at: this.#endOffset,
     });
     if (appended.ok) {
-      this.#end = appended.val + 1;
-      this.#contactAtMs = sentAtMs;
+      this.#endOffset = appended.val + 1;
+      this.#lastContactAtMs = sentAtMs;
       this.#options.onAppended?.({ offset: appended.val, key, value });
       return true;
     }
@@ -431,7 +459,7 @@
       cause: failure.kind,
       message: "message" in failure ? failure.message : failure.kind,
     });
-    this.#nextAppendAtMs = clock.readMs() + REFUSED_PAUSE_MS;
+    this.#nextAppendAtMs = clock.readMs() + APPEND_BACKOFF_MS;
     if (failure.kind !== "refused") {
       await this.#restoreFromStore();
     }
@@ -439,25 +467,25 @@
   }
 
   /**
-   * After a conflict or a lost answer: what stands in the store decides. An
-   * append of this keeper's may have taken effect after all; a newer claim ends
-   * it. An append still on its way can only fail or be found the next time,
-   * since its condition names one offset.
+   * Reads the partition after a conflict or a lost response and continues from
+   * its contents. An append of this keeper may have taken effect after all; a
+   * newer claim stops the keeper. An append that is still in flight either
+   * fails or is found by the next read, since its condition names one offset.
    */
   async #restoreFromStore(): Promise<void> {
-    const standing = await this.#readPartitionState();
-    if (!standing.ok) {
+    const state = await this.#readPartitionState();
+    if (!state.ok) {
       return;
     }
-    if (standing.val.term !== this.#options.term) {
+    if (state.val.term !== this.#options.term) {
       this.stop("replaced");
       return;
     }
-    this.#end = standing.val.end;
-    for (const [service, table] of standing.val.tables) {
+    this.#endOffset = state.val.end;
+    for (const [service, table] of state.val.tables) {
       this.#setTable(service, table);
     }
-    this.#options.onRestored?.(this.#end);
+    this.#options.onRestored?.(this.#endOffset);
   }
 
   async #readPartitionState(): Promise<Result<PartitionState, StoreFailure>> {
@@ -467,7 +495,7 @@
     if (!read.ok) {
       return Err(read.val);
     }
-    this.#contactAtMs = sentAtMs;
+    this.#lastContactAtMs = sentAtMs;
     return Ok(parsePartitionState(read.val.records, read.val.end));
   }
 }
--- a/packages/ownership/src/key_keeper_test.ts
+++ b/packages/ownership/src/key_keeper_test.ts
@@ -16,7 +16,10 @@
 const PARTITION = { topic: "owners", part: 0 };
 const SERVICE = "files";
 
-/** One world of a store and targets, in which keepers come and go. */
+/**
+ * A store and targets that several keepers share, one after the other or at
+ * once.
+ */
 class KeyKeeperSimulation {
   readonly clock = new VirtualClock();
   readonly store = new FakeStore(this.clock);
@@ -24,15 +27,15 @@
   readonly events: KeeperEvent[] = [];
   candidates: OwnerCandidate[] = ["a", "b"].map(createCandidate);
   readonly ended = new Set<string>();
-  /** Targets are there from the start, except where they join. */
+  /** Zero, because the targets of most tests are registered from the start. */
   distributeAfterMs = 0;
   /** Whether all witnesses let a keeper act without the store. */
   hasPledges = false;
   recordRestored: (end: number) => void = () => undefined;
   /** Instances that cannot reach the store. */
-  readonly cut = new Set<string>();
+  readonly cutOff = new Set<string>();
 
-  /** Claims as an instance does, and starts its keeper. */
+  /** Claims the partition as an instance does, and starts its keeper. */
   startKeeper(
     instance: string,
     options: {
@@ -74,7 +77,7 @@
       }],
       hasEnded: (holder) => this.ended.has(holder.id),
       getConfirmedAtMs: () =>
-        this.cut.has(instance) ? -Infinity : this.clock.readMs(),
+        this.cutOff.has(instance) ? -Infinity : this.clock.readMs(),
       getTrustedSinceMs: options.getTrustedSinceMs ?? (() => -Infinity),
       observe: (event) => this.events.push(event),
       onRestored: (end) => this.recordRestored(end),
@@ -85,7 +88,7 @@
   }
 
   closeStoreTo(instance: string): void {
-    this.cut.add(instance);
+    this.cutOff.add(instance);
     this.store.setFaultMode(instance, "silent");
   }
 
@@ -102,304 +105,321 @@
   return { id, address: `${id}:80`, places: 2, serviceMs: 50 };
 }
 
-test("a first keeper divides the keys and grants them", async () => {
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  assert.deepEqual(world.readOwners(), Array(6).fill(["a", "b"]).flat());
-  assert.equal(world.holders.findHolder(0), "a");
-  assert.equal(world.holders.findHolder(65_535), "b");
+test("the first keeper distributes the keys and grants them", async () => {
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  assert.deepEqual(simulation.readOwners(), Array(6).fill(["a", "b"]).flat());
+  assert.equal(simulation.holders.findHolder(0), "a");
+  assert.equal(simulation.holders.findHolder(65_535), "b");
 });
 
 test("a leaving target's keys move only after it has released them", async () => {
-  // A user sees two answers of two case files that should be one. A target is
-  // told to leave; its keys are granted to another while it still works on
-  // one of them. The grant must wait for the answer to the release.
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.candidates = [createCandidate("b")];
-  await world.clock.advance(1_000);
-  assert.equal(world.holders.findHolder(0), "b");
-  assert.deepEqual(world.holders.listOverlaps(), []);
-  const release = world.holders.orders.find(({ kind }) => kind === "release")!;
-  const grant = world.holders.orders.find((order) =>
+  // Guards against two owners of a key: a target is asked to leave, and its
+  // keys are granted to another target while it still works on one of them. The
+  // grant must wait for the response to the release.
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.candidates = [createCandidate("b")];
+  await simulation.clock.advance(1_000);
+  assert.equal(simulation.holders.findHolder(0), "b");
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
+  const release = simulation.holders.orders.find(({ kind }) =>
+    kind === "release"
+  )!;
+  const grant = simulation.holders.orders.find((order) =>
     order.kind === "grant" && order.targetId === "b" && order.from === 0
   )!;
   assert.ok(release.token === grant.token, "released under the new token");
-  assert.ok(grant.atMs >= release.atMs + 60, "granted after its work ended");
+  assert.ok(
+    grant.atMs >= release.atMs + 60,
+    "granted after the work of the former owner ended",
+  );
 });
 
-test("keys of a target that cannot be reached wait for its hold to end", async () => {
-  // A target is cut off and goes on serving its keys, since it holds them for
-  // 4 s more. Granted to another at once, they would have two owners.
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.holders.setFaultMode("a", "unreachable");
-  world.candidates = [createCandidate("b")];
-  await world.clock.advance(3_000);
-  assert.notEqual(world.holders.findHolder(0), "b");
-  await world.clock.advance(2_500);
-  assert.equal(world.holders.findHolder(0), "b", "served again within 5 s");
-  assert.deepEqual(world.holders.listOverlaps(), []);
+test("keys of an unreachable target move only after its hold has expired", async () => {
+  // Guards against two owners of a key: an unreachable target goes on serving
+  // its keys, which it holds for 4 s more, while they are granted to another
+  // target.
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.holders.setFaultMode("a", "unreachable");
+  simulation.candidates = [createCandidate("b")];
+  await simulation.clock.advance(3_000);
+  assert.notEqual(simulation.holders.findHolder(0), "b");
+  await simulation.clock.advance(2_500);
+  assert.equal(
+    simulation.holders.findHolder(0),
+    "b",
+    "served again within 5 s",
+  );
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
 });
 
-test("orders that never left do not prolong a hold", async () => {
-  // A target is lost in an outage of the store. Its keeper tries to renew its
-  // keys on connections that never open, for seconds, and can move nothing. When
-  // the store is back, its hold has long run out; counted from the last try,
-  // its keys went unserved for 4 s more.
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.closeStoreTo("one");
-  world.holders.setFaultMode("a", "unconnectable");
-  await world.clock.advance(6_000);
-  world.cut.delete("one");
-  world.store.setFaultMode("one", "serving");
-  world.candidates = [createCandidate("b")];
-  await world.clock.advance(2_000);
-  assert.equal(world.holders.findHolder(0), "b");
-  assert.deepEqual(world.holders.listOverlaps(), []);
+test("orders that were never sent do not extend a hold", async () => {
+  // In a store outage a target is lost, and its keeper tries to renew its keys
+  // for seconds on connections that never open. With a hold counted from the
+  // last attempt, its keys went unserved for 4 s more once the store was back.
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.closeStoreTo("one");
+  simulation.holders.setFaultMode("a", "unconnectable");
+  await simulation.clock.advance(6_000);
+  simulation.cutOff.delete("one");
+  simulation.store.setFaultMode("one", "serving");
+  simulation.candidates = [createCandidate("b")];
+  await simulation.clock.advance(2_000);
+  assert.equal(simulation.holders.findHolder(0), "b");
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
 });
 
-test("a target that has ended is not waited for", async () => {
-  // Another process was seen at its address: nobody holds its keys.
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.holders.setFaultMode("a", "unreachable");
-  world.ended.add("a");
-  world.candidates = [createCandidate("b")];
-  await world.clock.advance(1_000);
+test("the hold of a target that has ended is not waited for", async () => {
+  // Another process was seen at its address, so nobody holds its keys.
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.holders.setFaultMode("a", "unreachable");
+  simulation.ended.add("a");
+  simulation.candidates = [createCandidate("b")];
+  await simulation.clock.advance(1_000);
   assert.ok(
-    world.holders.orders
+    simulation.holders.orders
       .some((order) => order.targetId === "b" && order.from === 0),
   );
 });
 
-test("a grant that was left unanswered is waited out after a release", async () => {
-  // A renewal gets no answer. The target then answers a release, and 2 s after
-  // it carries the renewal out all the same: it holds the keys again, while
-  // they have been granted to another.
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.holders.setLateGrantDelayMs(2_500);
-  world.holders.setFaultMode("a", "late");
-  await world.clock.advance(1_500);
-  world.holders.setFaultMode("a", "answering");
-  world.candidates = [createCandidate("b")];
-  await world.clock.advance(8_000);
-  assert.equal(world.holders.findHolder(0), "b");
-  assert.deepEqual(world.holders.listOverlaps(), []);
+test("a released range waits until an unanswered grant can no longer take effect", async () => {
+  // Guards against two owners of a key: a target leaves a renewal unanswered,
+  // answers a release, and 2 s later carries out the renewal after all, while
+  // its keys have been granted to another target.
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.holders.setLateGrantDelayMs(2_500);
+  simulation.holders.setFaultMode("a", "late");
+  await simulation.clock.advance(1_500);
+  simulation.holders.setFaultMode("a", "answering");
+  simulation.candidates = [createCandidate("b")];
+  await simulation.clock.advance(8_000);
+  assert.equal(simulation.holders.findHolder(0), "b");
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
 });
 
-test("a release counts on when its range gets yet another owner", async () => {
-  // A successor moves a hot key off a busy target, which answers the release.
-  // The new owner never answers and is replaced in turn. Releasing the former
-  // holder anew began the wait for late grants anew: the key had no owner for
-  // 6.5 s, and 750 requests were refused.
-  const world = new KeyKeeperSimulation();
-  world.candidates = [createCandidate("a")];
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.startKeeper("two", { predecessor: "unknown" });
-  world.holders.setFaultMode("c", "unconnectable");
-  world.candidates = [createCandidate("c")];
-  await world.clock.advance(3_000);
-  world.candidates = [createCandidate("b")];
-  await world.clock.advance(1_500);
-  const released = world.holders.orders
+test("a release stays valid when its range gets yet another owner", async () => {
+  // A successor moves a hot key, and the new owner never answers and is
+  // replaced in turn. A second release of the former holder restarted the wait
+  // for late grants: the key had no owner for 6.5 s, and 750 requests were
+  // rejected.
+  const simulation = new KeyKeeperSimulation();
+  simulation.candidates = [createCandidate("a")];
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.startKeeper("two", { predecessor: "unknown" });
+  simulation.holders.setFaultMode("c", "unconnectable");
+  simulation.candidates = [createCandidate("c")];
+  await simulation.clock.advance(3_000);
+  simulation.candidates = [createCandidate("b")];
+  await simulation.clock.advance(1_500);
+  const released = simulation.holders.orders
     .filter(({ kind }) => kind === "release")
     .reduce((keys, { from, to }) => keys + to - from + 1, 0);
   assert.equal(released, 65_536, "each key is released once");
-  assert.equal(world.holders.findHolder(0), "b");
-  assert.deepEqual(world.holders.listOverlaps(), []);
+  assert.equal(simulation.holders.findHolder(0), "b");
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
 });
 
-test("a keeper that was replaced writes and orders nothing more", async () => {
-  // Two instances believe that they keep the keys: the first one's append
-  // fails, since the partition ends with the second one's claim.
-  const world = new KeyKeeperSimulation();
-  const first = world.startKeeper("one");
-  await world.clock.advance(500);
-  world.startKeeper("two", { predecessor: "unknown" });
-  world.candidates = [createCandidate("b")];
-  await world.clock.advance(1_000);
+test("a replaced keeper writes no records and sends no orders", async () => {
+  // Guards against two instances that both act as the keeper: the first one's
+  // append must fail, since the partition ends with the second one's claim.
+  const simulation = new KeyKeeperSimulation();
+  const first = simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.startKeeper("two", { predecessor: "unknown" });
+  simulation.candidates = [createCandidate("b")];
+  await simulation.clock.advance(1_000);
   assert.ok(first.hasStopped);
-  const before = world.store.listRecords(PARTITION)
+  const before = simulation.store.listRecords(PARTITION)
     .filter(({ key }) => key === formatTableKey(SERVICE)).length;
-  await world.clock.advance(7_000);
+  await simulation.clock.advance(7_000);
   assert.ok(before >= 2);
-  assert.deepEqual(world.holders.listOverlaps(), []);
-  assert.equal(world.holders.findHolder(0), "b");
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
+  assert.equal(simulation.holders.findHolder(0), "b");
 });
 
-test("a successor that cannot reach a holder waits for its predecessor's authority to end", async () => {
-  // The keeper is cut from the store but not from target a, and goes on
-  // renewing. Its successor reaches the store but not target a. Were only the
-  // hold waited out, a would still be renewed when its keys go to b.
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.closeStoreTo("one");
-  world.startKeeper("two", {
+test("a successor that cannot reach a holder waits until its predecessor's authority has ended", async () => {
+  // The keeper is cut off from the store and goes on renewing target a; its
+  // successor reaches the store but not target a. If the successor waited only
+  // for the hold, a would still be renewed when its keys go to b.
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.closeStoreTo("one");
+  simulation.startKeeper("two", {
     predecessor: "unknown",
     canReach: (id) => id !== "a",
   });
-  await world.clock.advance(DEFAULT_KEEPER_TIMING.authorityMs - 100);
-  assert.equal(world.holders.findHolder(0), "a", "the first goes on");
-  await world.clock.advance(2 * DEFAULT_KEEPER_TIMING.holdMs);
-  assert.equal(world.holders.findHolder(0), "b");
-  assert.deepEqual(world.holders.listOverlaps(), []);
+  await simulation.clock.advance(DEFAULT_KEEPER_TIMING.authorityMs - 100);
+  assert.equal(
+    simulation.holders.findHolder(0),
+    "a",
+    "the first keeper goes on renewing",
+  );
+  await simulation.clock.advance(2 * DEFAULT_KEEPER_TIMING.holdMs);
+  assert.equal(simulation.holders.findHolder(0), "b");
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
 });
 
-test("keys are served on while the store is away", async () => {
+test("keys are served during a store outage", async () => {
   // The store is down for 50 s, and every other instance has pledged to wait.
-  // Without renewals every key would stop being served within 4 s.
-  const world = new KeyKeeperSimulation();
-  world.hasPledges = true;
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.closeStoreTo("one");
-  await world.clock.advance(50_000);
-  assert.equal(world.holders.findHolder(0), "a");
-  assert.equal(world.holders.findHolder(65_535), "b");
-  // Whoever was never asked for a pledge waits for this long and no longer.
-  await world.clock.advance(DEFAULT_KEEPER_TIMING.maxAuthorityMs - 45_000);
-  assert.equal(world.holders.findHolder(0), undefined);
+  // Without renewals, every key would go unserved within 4 s.
+  const simulation = new KeyKeeperSimulation();
+  simulation.hasPledges = true;
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.closeStoreTo("one");
+  await simulation.clock.advance(50_000);
+  assert.equal(simulation.holders.findHolder(0), "a");
+  assert.equal(simulation.holders.findHolder(65_535), "b");
+  // An instance that was never asked for a pledge takes over after this time.
+  await simulation.clock.advance(DEFAULT_KEEPER_TIMING.maxAuthorityMs - 45_000);
+  assert.equal(simulation.holders.findHolder(0), undefined);
 });
 
 test("a keeper stops renewing when its authority has ended", async () => {
-  // Away from the store for longer, another may have been claimed meanwhile.
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.closeStoreTo("one");
-  await world.clock.advance(DEFAULT_KEEPER_TIMING.authorityMs + 5_000);
-  assert.equal(world.holders.findHolder(0), undefined);
+  // During a longer time without the store, another keeper may have been
+  // claimed.
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.closeStoreTo("one");
+  await simulation.clock.advance(DEFAULT_KEEPER_TIMING.authorityMs + 5_000);
+  assert.equal(simulation.holders.findHolder(0), undefined);
 });
 
 test("a suspended keeper asks the store before its next order", async () => {
-  // The machine was suspended; the steady clock stood still, so the keeper
-  // would take its authority for fresh. What was confirmed before is void.
-  const world = new KeyKeeperSimulation();
+  // The monotonic clock stands still while the machine is suspended, so the
+  // keeper would take its authority for recent. Earlier confirmations must not
+  // count.
+  const simulation = new KeyKeeperSimulation();
   let trustedSinceMs = -Infinity;
-  world.startKeeper("one", { getTrustedSinceMs: () => trustedSinceMs });
-  await world.clock.advance(500);
-  trustedSinceMs = world.clock.readMs();
-  world.closeStoreTo("one");
-  const before = world.holders.orders.length;
-  await world.clock.advance(3_000);
-  assert.equal(world.holders.orders.length, before);
+  simulation.startKeeper("one", { getTrustedSinceMs: () => trustedSinceMs });
+  await simulation.clock.advance(500);
+  trustedSinceMs = simulation.clock.readMs();
+  simulation.closeStoreTo("one");
+  const before = simulation.holders.orders.length;
+  await simulation.clock.advance(3_000);
+  assert.equal(simulation.holders.orders.length, before);
 });
 
-test("a keeper whose time of day has jumped confirms its authority at once", async () => {
-  // The time of day steps by 2 s on the keeper's machine. That may have been a
-  // suspension, so what was confirmed before is void; but the next read of its
-  // tail ends up to 3 s later, and every key would go unheld meanwhile.
-  const world = new KeyKeeperSimulation();
+test("a keeper whose time of day jumped confirms its authority at once", async () => {
+  // A step of 2 s in the time of day may mean a suspension, so earlier
+  // confirmations no longer count. The next read of the partition's tail ends
+  // up to 3 s later, and until then every key would go unserved.
+  const simulation = new KeyKeeperSimulation();
   let trustedSinceMs = -Infinity;
-  world.startKeeper("one", { getTrustedSinceMs: () => trustedSinceMs });
-  await world.clock.advance(3_000);
-  world.cut.add("one");
-  trustedSinceMs = world.clock.readMs();
+  simulation.startKeeper("one", { getTrustedSinceMs: () => trustedSinceMs });
+  await simulation.clock.advance(3_000);
+  simulation.cutOff.add("one");
+  trustedSinceMs = simulation.clock.readMs();
   for (let elapsedMs = 0; elapsedMs < 5_000; elapsedMs += 100) {
-    await world.clock.advance(100);
-    assert.equal(world.holders.findHolder(0), "a");
+    await simulation.clock.advance(100);
+    assert.equal(simulation.holders.findHolder(0), "a");
   }
 });
 
-test("a table whose answer was lost is told to be read before the next", async () => {
-  // The store takes a table and its answer is lost. The keeper finds it there,
-  // and the next table is told by what differs from it; others, who never heard
-  // of it, would put that onto the one before, and send keys to wrong owners.
-  const world = new KeyKeeperSimulation();
-  const told: number[] = [];
-  world.recordRestored = (end) => told.push(end);
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  assert.deepEqual(told, []);
-  world.store.setFaultMode("one", "losing-answers");
-  world.candidates = [createCandidate("a"), createCandidate("c")];
-  await world.clock.advance(1_500);
-  const lostAt = world.store.listRecords(PARTITION).length;
-  world.store.setFaultMode("one", "serving");
-  await world.clock.advance(2_000);
-  assert.ok(told.some((end) => end >= lostAt), `${told} of ${lostAt}`);
+test("a keeper reports the end of the partition after the response to a table was lost", async () => {
+  // The store accepts a table, but its response is lost. The next table is sent
+  // as a difference from it, which instances without it would apply to an older
+  // table, and so send keys to wrong owners.
+  const simulation = new KeyKeeperSimulation();
+  const restoredEnds: number[] = [];
+  simulation.recordRestored = (end) => restoredEnds.push(end);
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  assert.deepEqual(restoredEnds, []);
+  simulation.store.setFaultMode("one", "losing-answers");
+  simulation.candidates = [createCandidate("a"), createCandidate("c")];
+  await simulation.clock.advance(1_500);
+  const lostEnd = simulation.store.listRecords(PARTITION).length;
+  simulation.store.setFaultMode("one", "serving");
+  await simulation.clock.advance(2_000);
+  assert.ok(
+    restoredEnds.some((end) => end >= lostEnd),
+    `restored at ${restoredEnds}, lost response at ${lostEnd}`,
+  );
 });
 
-test("an append whose answer was lost is found in the store", async () => {
-  // The table with the new owner is in the store, but its answer is not back.
-  // Written anew it would conflict for ever; read back, the move goes on.
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(500);
-  world.store.setFaultMode("one", "losing-answers");
-  world.candidates = [createCandidate("b")];
-  await world.clock.advance(2_000);
-  world.store.setFaultMode("one", "serving");
-  await world.clock.advance(2_000);
-  assert.equal(world.holders.findHolder(0), "b");
-  assert.deepEqual(world.holders.listOverlaps(), []);
+test("an append whose response was lost is found in the store", async () => {
+  // The store contains the table with the new owner, but its response is lost.
+  // A repeated append would conflict forever; a read of the partition lets the
+  // move continue.
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  simulation.store.setFaultMode("one", "losing-answers");
+  simulation.candidates = [createCandidate("b")];
+  await simulation.clock.advance(2_000);
+  simulation.store.setFaultMode("one", "serving");
+  await simulation.clock.advance(2_000);
+  assert.equal(simulation.holders.findHolder(0), "b");
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
 });
 
-test("a successor grants what stands to the same owners under tokens of its own", async () => {
-  // All instances lose power at once. No key should change its owner or go
-  // unheld when the first keeper is back. But a target may have started again
-  // under its id meanwhile, and would get keys under the token of its life
-  // before, if the successor went on with the tokens that it found.
-  const world = new KeyKeeperSimulation();
-  const first = world.startKeeper("one");
-  await world.clock.advance(500);
-  const owners = world.readOwners();
+test("a successor grants ranges to their current owners under its own tokens", async () => {
+  // All instances lose power at once: no key may change its owner or go
+  // unserved. A target may have restarted under its id meanwhile, and must not
+  // get keys under a token of its previous incarnation.
+  const simulation = new KeyKeeperSimulation();
+  const first = simulation.startKeeper("one");
+  await simulation.clock.advance(500);
+  const owners = simulation.readOwners();
   first.stop("asked");
-  world.holders.restart("b");
-  const sent = world.holders.orders.length;
-  const second = world.startKeeper("two", { predecessor: "ended" });
+  simulation.holders.restart("b");
+  const sent = simulation.holders.orders.length;
+  const second = simulation.startKeeper("two", { predecessor: "ended" });
   for (let elapsedMs = 0; elapsedMs < 3_000; elapsedMs += 50) {
-    await world.clock.advance(50);
-    assert.equal(world.holders.findHolder(0), "a");
+    await simulation.clock.advance(50);
+    assert.equal(simulation.holders.findHolder(0), "a");
   }
-  assert.equal(world.holders.findHolder(65_535), "b");
-  assert.deepEqual(world.readOwners(), owners);
-  const orders = world.holders.orders.slice(sent);
+  assert.equal(simulation.holders.findHolder(65_535), "b");
+  assert.deepEqual(simulation.readOwners(), owners);
+  const orders = simulation.holders.orders.slice(sent);
   assert.ok(orders.every(({ kind }) => kind === "grant"));
   assert.ok(orders.every(({ token }) => token > second.term));
-  assert.deepEqual(world.holders.listOverlaps(), []);
-  assert.deepEqual(world.holders.listStaleTokens(), []);
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
+  assert.deepEqual(simulation.holders.listStaleTokens(), []);
 });
 
-test("a target that starts again under its id gets its keys with a higher token", async () => {
-  // A target is killed and is back between two renewals, long before its entry
-  // shows it. The next renewal would give the new life the keys under the token
-  // that the old one had, which the rules forbid: its earlier work may still
-  // take effect under that token.
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(2_000);
-  const owners = world.readOwners();
-  world.holders.restart("a");
-  assert.equal(world.holders.findHolder(0), undefined);
-  await world.clock.advance(1_500);
-  assert.equal(world.holders.findHolder(0), "a");
-  assert.deepEqual(world.holders.listStaleTokens(), []);
-  assert.deepEqual(world.readOwners(), owners);
+test("a target that restarts under its id gets its keys with a higher token", async () => {
+  // A target is killed and restarts between two renewals, long before its entry
+  // shows this. The next renewal must not give the new incarnation the keys
+  // under its old token, under which earlier work may still take effect.
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(2_000);
+  const owners = simulation.readOwners();
+  simulation.holders.restart("a");
+  assert.equal(simulation.holders.findHolder(0), undefined);
+  await simulation.clock.advance(1_500);
+  assert.equal(simulation.holders.findHolder(0), "a");
+  assert.deepEqual(simulation.holders.listStaleTokens(), []);
+  assert.deepEqual(simulation.readOwners(), owners);
 });
 
-test("a target that starts again at another address gets keys there", async () => {
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(2_000);
-  world.holders.restart("a");
-  world.candidates = [
+test("a target that restarts at another address gets keys there", async () => {
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(2_000);
+  simulation.holders.restart("a");
+  simulation.candidates = [
     { ...createCandidate("a"), address: "a:81", bornMs: 2_000 },
     createCandidate("b"),
   ];
-  await world.clock.advance(6_000);
-  const records = world.store.listRecords(PARTITION);
+  await simulation.clock.advance(6_000);
+  const records = simulation.store.listRecords(PARTITION);
   const table = parsePartitionState(records, records.length).tables.get(
     SERVICE,
   )!;
@@ -408,38 +428,38 @@
       owner.address !== "a:80" && former.length === 0
     ),
   );
-  assert.deepEqual(world.holders.listStaleTokens(), []);
+  assert.deepEqual(simulation.holders.listStaleTokens(), []);
 });
 
-test("keys are dealt to all targets that start together", async () => {
-  // Targets register over a second or two. Dealt to the first at once, all keys
-  // would have one owner when the first callers come.
-  const world = new KeyKeeperSimulation();
-  world.distributeAfterMs = DEFAULT_KEEPER_TIMING.distributeAfterMs;
+test("keys are distributed to all targets that start together", async () => {
+  // Targets register over a second or two. If the first one got all keys at
+  // once, it would be their only owner when the first callers arrive.
+  const simulation = new KeyKeeperSimulation();
+  simulation.distributeAfterMs = DEFAULT_KEEPER_TIMING.distributeAfterMs;
   const all = ["a", "b", "c", "d"].map(createCandidate);
-  world.candidates = all.slice(0, 1);
-  world.startKeeper("one");
+  simulation.candidates = all.slice(0, 1);
+  simulation.startKeeper("one");
   for (let count = 2; count <= all.length; count++) {
-    await world.clock.advance(600);
-    world.candidates = all.slice(0, count);
+    await simulation.clock.advance(600);
+    simulation.candidates = all.slice(0, count);
   }
-  await world.clock.advance(600);
-  assert.deepEqual(world.readOwners(), []);
-  await world.clock.advance(1_500);
-  const owners = world.readOwners();
+  await simulation.clock.advance(600);
+  assert.deepEqual(simulation.readOwners(), []);
+  await simulation.clock.advance(1_500);
+  const owners = simulation.readOwners();
   for (const { id } of all) {
     assert.equal(owners.filter((owner) => owner === id).length, 6);
   }
-  assert.ok(world.holders.orders.every(({ kind }) => kind === "grant"));
+  assert.ok(simulation.holders.orders.every(({ kind }) => kind === "grant"));
 });
 
-test("a target that joins before anything is asked for gets its share", async () => {
-  const world = new KeyKeeperSimulation();
-  world.startKeeper("one");
-  await world.clock.advance(1_000);
-  world.candidates = ["a", "b", "c"].map(createCandidate);
-  await world.clock.advance(2_000);
-  const owners = world.readOwners();
+test("a target that joins before any key is requested gets its share", async () => {
+  const simulation = new KeyKeeperSimulation();
+  simulation.startKeeper("one");
+  await simulation.clock.advance(1_000);
+  simulation.candidates = ["a", "b", "c"].map(createCandidate);
+  await simulation.clock.advance(2_000);
+  const owners = simulation.readOwners();
   assert.equal(owners.filter((owner) => owner === "c").length, 6);
-  assert.deepEqual(world.holders.listOverlaps(), []);
+  assert.deepEqual(simulation.holders.listOverlaps(), []);
 });
--- a/packages/ownership/src/key_planner.ts
+++ b/packages/ownership/src/key_planner.ts
@@ -1,11 +1,12 @@
 /**
- * Which keys should change owners, from where the owners are and how busy each
- * key is.
+ * Plans which keys change owners, based on their current owners and on the
+ * request rate of each key.
  *
- * Load pattern: a hot spell asks for several times what a target can do within
- * one target's range. Keys that move
- * cost their share of all keys, and a hot spell is narrow: so the narrowest
- * stretch that carries the excess is moved, and what earns little stays.
+ * Load pattern: a hotspot inside one target's range receives several times the
+ * requests that the target can serve. The cost of a move grows with the share
+ * of all keys that it moves, and a hotspot is narrow. So the plan moves the
+ * narrowest subrange that carries the excess, and no keys that would bring
+ * little relief.
  */
 import { hasOverlap } from "@lentilspur/ports/key_orders";
 import type { KeyRate } from "./key_load.ts";
@@ -39,54 +40,75 @@
   toSubrange,
 } from "./subrange_selection.ts";
 
-/** Of a target with one place, the share that is to be free on average. */
+/** Share of a target with one place that should be free on average. */
 const SINGLE_PLACE_HEADROOM = 0.57;
-/** And only if it is this much busier than the average. */
-const MIN_EXCESS = 1.15;
-/** A key that asks for less than this share of its owner is only busy. */
-const HOT_SHARE = 0.8;
-/** Below this many times the owner's speed a move gains less than it breaks off. */
-const MIN_GAIN = 1.3;
-/** A range that carries less than this share of its owner's rate is no relief. */
-const MIN_RELIEF = 0.03;
-/** Moves in one plan, where there are few targets; one for each of many. */
+/**
+ * An owner is relieved only if its utilization exceeds the average by this
+ * factor.
+ */
+const MIN_OVERLOAD_RATIO = 1.15;
+/**
+ * A key is hot if its requests take at least this share of its owner's
+ * capacity.
+ */
+const HOT_KEY_SHARE = 0.8;
+/**
+ * A hot key moves only to a target with at least this many times the owner's
+ * capacity. Below that, the move gains less than it loses by interrupting
+ * requests.
+ */
+const MIN_SPEEDUP = 1.3;
+/**
+ * A range with less than this share of its owner's capacity is not worth
+ * moving.
+ */
+const MIN_RELIEF_SHARE = 0.03;
+/**
+ * Maximum moves in one plan; if there are more targets, one move per target.
+ */
 const MIN_MOVES = 12;
 /**
- * Each range costs a renewal a second. Beyond this many a target, what lasts is
- * evened out by whole ranges, and idle ranges are merged with their neighbours.
+ * Each range costs one renewal per second. Above this many ranges per target,
+ * lasting imbalances are reduced by moving whole ranges only, and idle ranges
+ * are merged with their neighbours.
  */
 const MAX_RANGES_PER_TARGET = 10;
-/** Of all targets together: one keeper renews them all. */
+/** Limit over all targets together, since one keeper renews all ranges. */
 const MAX_RANGES = 400;
 
 export interface PlanOptions {
-  /** Whether owners that have too much are relieved as well. */
+  /** Whether keys of overloaded owners are moved as well. */
   readonly rebalance: boolean;
 }
 
-/** Keys whose owner is gone or leaving, and keys of owners that have too much. */
+/**
+ * Plans moves of keys whose owner is gone or leaving, and of keys of overloaded
+ * owners.
+ */
 export function planReassignments(
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
   rates: readonly KeyRate[],
-  { rebalance: balances }: PlanOptions = { rebalance: true },
+  { rebalance }: PlanOptions = { rebalance: true },
 ): readonly Reassignment[] {
   if (candidates.length === 0) {
     return [];
   }
-  if (balances && rates.length === 0 && hasNewTarget(table, candidates)) {
+  if (rebalance && rates.length === 0 && hasNewTarget(table, candidates)) {
     return planEvenDistribution(table, candidates);
   }
-  const lines = createRateIndexes(rates);
-  const standings = createOwnerLoads(table, candidates, lines);
-  const isCrowded = table.ranges.length >
+  const rateIndexes = createRateIndexes(rates);
+  const ownerLoads = createOwnerLoads(table, candidates, rateIndexes);
+  const hasTooManyRanges = table.ranges.length >
     Math.min(MAX_RANGES, MAX_RANGES_PER_TARGET * candidates.length);
-  const orphans = planOrphans(table, standings, lines.longTerm);
-  if (!balances) {
+  const orphans = planOrphans(table, ownerLoads, rateIndexes.longTerm);
+  if (!rebalance) {
     return orphans;
   }
-  const moves = planBalance(standings, lines, isCrowded);
-  const merges = isCrowded ? planMerges(table, standings, lines) : [];
+  const moves = planBalance(ownerLoads, rateIndexes, hasTooManyRanges);
+  const merges = hasTooManyRanges
+    ? planMerges(table, ownerLoads, rateIndexes)
+    : [];
   return [...orphans, ...moves, ...merges];
 }
 
@@ -100,34 +122,36 @@
 }
 
 /**
- * Before anything is asked for, a move breaks nothing off, and which keys will
- * be busy is not known: all are dealt out anew. Load pattern: targets register
- * over a second or two, and callers come some seconds later. A target that has
- * registered first would own all keys when they come, and for 4 to 18 s more
- * than half of the requests for keys would be refused.
+ * Distributes all keys anew before any key is requested: a move interrupts no
+ * requests yet, and the busy keys are not known yet. Load pattern: targets
+ * register over a second or two, and callers arrive some seconds later. Without
+ * this, the target that registered first would own all keys when callers
+ * arrive, and for 4 to 18 s more than half of the requests for keys would be
+ * rejected.
  */
 function planEvenDistribution(
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
 ): readonly Reassignment[] {
   return createTable(candidates, 0).ranges
-    .filter((dealt) =>
+    .filter((assigned) =>
       table.ranges.some((range) =>
-        hasOverlap(range, dealt) && !isSameEndpoint(range.owner, dealt.owner)
+        hasOverlap(range, assigned) &&
+        !isSameEndpoint(range.owner, assigned.owner)
       )
     )
     .map(({ from, to, owner }) => ({ from, to, owner }));
 }
 
 function planBalance(
-  standings: ReadonlyMap<string, OwnerLoad>,
-  lines: KeyRateIndexes,
-  isCrowded: boolean,
+  ownerLoads: ReadonlyMap<string, OwnerLoad>,
+  rateIndexes: KeyRateIndexes,
+  hasTooManyRanges: boolean,
 ): readonly Reassignment[] {
   const changes: Reassignment[] = [];
-  const maxMoves = Math.max(MIN_MOVES, standings.size);
+  const maxMoves = Math.max(MIN_MOVES, ownerLoads.size);
   while (changes.length < maxMoves) {
-    const change = planOneMove(standings, lines, isCrowded);
+    const change = planOneMove(ownerLoads, rateIndexes, hasTooManyRanges);
     if (change === undefined) {
       break;
     }
@@ -137,86 +161,98 @@
 }
 
 function planOneMove(
-  standings: ReadonlyMap<string, OwnerLoad>,
-  lines: KeyRateIndexes,
-  isCrowded: boolean,
+  ownerLoads: ReadonlyMap<string, OwnerLoad>,
+  rateIndexes: KeyRateIndexes,
+  hasTooManyRanges: boolean,
 ): Reassignment | undefined {
-  const average = computeAverageUtilization(standings);
-  const givers = [...standings.values()]
-    .filter((one) => isOverloaded(one, average))
+  const average = computeAverageUtilization(ownerLoads);
+  const sources = [...ownerLoads.values()]
+    .filter((ownerLoad) => isOverloaded(ownerLoad, average))
     .sort((left, right) => right.utilization - left.utilization);
-  // One that nothing can be taken from must not keep the others from relief.
-  for (const giver of givers) {
-    const options = { giver, standings, lines, average, isCrowded };
+  // An owner that cannot be relieved must not block the relief of the others.
+  for (const source of sources) {
+    const options = {
+      source,
+      ownerLoads,
+      rateIndexes,
+      average,
+      hasTooManyRanges,
+    };
     const change = planHotKey(options) ?? planRelief(options);
     if (change !== undefined) {
       return change;
     }
   }
-  return planForNewTarget(standings, lines.longTerm, average);
+  return planForNewTarget(ownerLoads, rateIndexes.longTerm, average);
 }
 
 interface ReliefOptions {
-  readonly giver: OwnerLoad;
-  readonly standings: ReadonlyMap<string, OwnerLoad>;
-  readonly lines: KeyRateIndexes;
-  /** Share of all places that is busy. */
+  readonly source: OwnerLoad;
+  readonly ownerLoads: ReadonlyMap<string, OwnerLoad>;
+  readonly rateIndexes: KeyRateIndexes;
+  /** Average utilization of all candidates. */
   readonly average: number;
-  readonly isCrowded: boolean;
+  readonly hasTooManyRanges: boolean;
 }
 
 /**
- * A key that alone asks for more than its owner can do goes to a target that
- * can do clearly more. Load pattern: two fifths of all lookups are about one
- * key for 5 s; an owner of 0.6 of the usual speed answers 10 a second of them,
- * one of 1.4 answers 23, and the rest are refused. What else the faster target
- * owns leaves it by the moves that follow, since it then has too much.
+ * Moves a key whose requests alone exceed its owner's capacity to a target with
+ * clearly more capacity. Load pattern: two fifths of all lookups are for one
+ * key for 5 s. An owner with 0.6 of the usual speed answers 10 of them per
+ * second, one with 1.4 answers 23, and the rest are rejected. The faster target
+ * is then overloaded, so the following moves take its other keys away.
  */
 function planHotKey(
-  { giver, standings, lines }: ReliefOptions,
+  { source, ownerLoads, rateIndexes }: ReliefOptions,
 ): Reassignment | undefined {
-  const rates = chooseRates(giver, lines);
-  const hot = findHottest(giver, rates);
+  const rates = chooseRates(source, rateIndexes);
+  const hot = findHottest(source, rates);
   if (
     hot === undefined ||
-    hot.perSecond < HOT_SHARE * computeCapacity(giver.candidate)
+    hot.perSecond < HOT_KEY_SHARE * computeCapacity(source.candidate)
   ) {
     return undefined;
   }
-  const receiver = chooseFastest(standings, rates);
+  const destination = chooseFastest(ownerLoads, rates);
   if (
-    receiver === undefined ||
-    computeCapacity(receiver.candidate) <
-      MIN_GAIN * computeCapacity(giver.candidate)
+    destination === undefined ||
+    computeCapacity(destination.candidate) <
+      MIN_SPEEDUP * computeCapacity(source.candidate)
   ) {
     return undefined;
   }
   const { key, perSecond } = hot;
-  return moveKeys({ giver, receiver, keys: { from: key, to: key, perSecond } });
+  return moveKeys({
+    source,
+    destination,
+    keys: { from: key, to: key, perSecond },
+  });
 }
 
-/** The fastest target that no hot key keeps busy already. */
+/** The target with the most capacity that does not yet own a hot key. */
 function chooseFastest(
-  standings: ReadonlyMap<string, OwnerLoad>,
+  ownerLoads: ReadonlyMap<string, OwnerLoad>,
   rates: KeyRateIndex,
 ): OwnerLoad | undefined {
-  return [...standings.values()]
-    .filter((one) => {
-      const perSecond = findHottest(one, rates)?.perSecond ?? 0;
-      return perSecond < HOT_SHARE * computeCapacity(one.candidate);
+  return [...ownerLoads.values()]
+    .filter((ownerLoad) => {
+      const perSecond = findHottest(ownerLoad, rates)?.perSecond ?? 0;
+      return perSecond < HOT_KEY_SHARE * computeCapacity(ownerLoad.candidate);
     })
     .sort((left, right) =>
       computeCapacity(right.candidate) - computeCapacity(left.candidate)
     )[0];
 }
 
-/** The key that an owner is asked for most; none of a range on its way. */
+/**
+ * The most requested key of an owner, except in ranges that are in transfer.
+ */
 function findHottest(
-  standing: OwnerLoad,
+  ownerLoad: OwnerLoad,
   rates: KeyRateIndex,
 ): CountedRate | undefined {
   let hottest: CountedRate | undefined;
-  for (const { from, to } of listSettled(standing)) {
+  for (const { from, to } of listSettled(ownerLoad)) {
     for (const rate of rates.list(from, to)) {
       if (rate.perSecond > (hottest?.perSecond ?? 0)) {
         hottest = rate;
@@ -227,50 +263,53 @@
 }
 
 function planRelief(
-  { giver, standings, lines, average, isCrowded }: ReliefOptions,
+  { source, ownerLoads, rateIndexes, average, hasTooManyRanges }: ReliefOptions,
 ): Reassignment | undefined {
-  const receiver = chooseLeastUtilized(standings);
-  if (giver === receiver) {
+  const destination = chooseLeastUtilized(ownerLoads);
+  if (source === destination) {
     return undefined;
   }
-  const excess = giver.utilization -
-    Math.max(average, computeMaxUtilization(giver.candidate));
-  const room = Math.max(average, computeMaxUtilization(receiver.candidate)) -
-    receiver.utilization;
-  const wanted = Math.min(
-    excess * computeCapacity(giver.candidate),
-    room * computeCapacity(receiver.candidate),
+  const excess = source.utilization -
+    Math.max(average, computeMaxUtilization(source.candidate));
+  const headroom =
+    Math.max(average, computeMaxUtilization(destination.candidate)) -
+    destination.utilization;
+  const wantedRate = Math.min(
+    excess * computeCapacity(source.candidate),
+    headroom * computeCapacity(destination.candidate),
   );
-  const rates = chooseRates(giver, lines);
+  const rates = chooseRates(source, rateIndexes);
   return moveSubrange({
-    source: giver,
-    destination: receiver,
-    wantedRate: wanted,
+    source,
+    destination,
+    wantedRate,
     rates,
-    hasTooManyRanges: isCrowded,
+    hasTooManyRanges,
   });
 }
 
-/** A target that has joined and owns nothing gets half of the average at once. */
+/**
+ * Moves up to half of the average load at once to a target that owns no keys.
+ */
 function planForNewTarget(
-  standings: ReadonlyMap<string, OwnerLoad>,
+  ownerLoads: ReadonlyMap<string, OwnerLoad>,
   rates: KeyRateIndex,
   average: number,
 ): Reassignment | undefined {
-  const receiver = [...standings.values()]
-    .find((one) => one.ranges.length === 0);
-  const giver = [...standings.values()]
-    .filter((one) => one.ranges.length > 0)
+  const destination = [...ownerLoads.values()]
+    .find((ownerLoad) => ownerLoad.ranges.length === 0);
+  const source = [...ownerLoads.values()]
+    .filter((ownerLoad) => ownerLoad.ranges.length > 0)
     .sort((left, right) => right.utilization - left.utilization)[0];
-  if (receiver === undefined || giver === undefined) {
+  if (destination === undefined || source === undefined) {
     return undefined;
   }
-  const wanted = Math.min(giver.utilization / 2, average / 2) *
-    computeCapacity(giver.candidate);
+  const wantedRate = Math.min(source.utilization / 2, average / 2) *
+    computeCapacity(source.candidate);
   return moveSubrange({
-    source: giver,
-    destination: receiver,
-    wantedRate: wanted,
+    source,
+    destination,
+    wantedRate,
     rates,
     hasTooManyRanges: false,
   });
@@ -279,76 +318,79 @@
 interface SubrangeOptions {
   readonly source: OwnerLoad;
   readonly destination: OwnerLoad;
-  /** Requests a second. */
+  /** Requests per second to move. */
   readonly wantedRate: number;
   readonly rates: KeyRateIndex;
   readonly hasTooManyRanges: boolean;
 }
 
 function moveSubrange(options: SubrangeOptions): Reassignment | undefined {
-  const { source: giver, destination: receiver } = options;
+  const { source, destination } = options;
   const keys = findNarrow(options) ?? findLargest(options);
-  return keys === undefined ? undefined : moveKeys({ giver, receiver, keys });
+  return keys === undefined
+    ? undefined
+    : moveKeys({ source, destination, keys });
 }
 
-/** The narrowest stretch or whole range that carries most of what is wanted. */
+/**
+ * The narrowest subrange or whole range that carries enough of the wanted rate.
+ */
 function findNarrow(
-  { source: giver, wantedRate: wanted, rates, hasTooManyRanges: isCrowded }:
-    SubrangeOptions,
+  { source, wantedRate, rates, hasTooManyRanges }: SubrangeOptions,
 ): Subrange | undefined {
   let best: Subrange | undefined;
-  for (const range of listSettled(giver)) {
-    const whole = toSubrange(rates, range);
-    const stretch = isCloseToRate(whole, wanted)
-      ? whole
-      : giver.isHotspot
-      ? findNarrowest(rates, range, wanted)
-      : isCrowded
+  for (const range of listSettled(source)) {
+    const wholeRange = toSubrange(rates, range);
+    const subrange = isCloseToRate(wholeRange, wantedRate)
+      ? wholeRange
+      : source.isHotspot
+      ? findNarrowest(rates, range, wantedRate)
+      : hasTooManyRanges
       ? undefined
-      : findEdge(rates, range, wanted);
-    if (stretch !== undefined && isNarrower(stretch, best)) {
-      best = stretch;
+      : findEdge(rates, range, wantedRate);
+    if (subrange !== undefined && isNarrower(subrange, best)) {
+      best = subrange;
     }
   }
   return best;
 }
 
 /**
- * Where no single stretch carries that much: the whole range that carries most.
+ * If no single subrange carries enough: the whole range with the highest rate.
  * An owner of many narrow ranges is relieved of several of them.
  */
 function findLargest(
-  { source: giver, wantedRate: wanted, rates }: SubrangeOptions,
+  { source, wantedRate, rates }: SubrangeOptions,
 ): Subrange | undefined {
-  const least = MIN_RELIEF * computeCapacity(giver.candidate);
-  return listSettled(giver)
+  const minRate = MIN_RELIEF_SHARE * computeCapacity(source.candidate);
+  return listSettled(source)
     .map((range) => toSubrange(rates, range))
-    .filter(({ perSecond }) => perSecond >= least && perSecond <= wanted)
+    .filter(({ perSecond }) => perSecond >= minRate && perSecond <= wantedRate)
     .sort((left, right) => right.perSecond - left.perSecond)[0];
 }
 
-/** The count by which an owner is busy. */
+/** The rates that determine an owner's utilization. */
 function chooseRates(
-  { isHotspot: isSpell }: OwnerLoad,
-  lines: KeyRateIndexes,
+  { isHotspot }: OwnerLoad,
+  rateIndexes: KeyRateIndexes,
 ): KeyRateIndex {
-  return isSpell ? lines.recent : lines.longTerm;
+  return isHotspot ? rateIndexes.recent : rateIndexes.longTerm;
 }
 
-/** Ranges that are not on their way. */
+/** Ranges that are not in transfer. */
 function listSettled({ ranges }: OwnerLoad): readonly OwnedRange[] {
   return ranges.filter(({ former }) => former.length === 0);
 }
 
-function isOverloaded(standing: OwnerLoad, average: number): boolean {
-  return standing.utilizationLowerBound >
-      computeMaxUtilization(standing.candidate) &&
-    standing.utilizationLowerBound > MIN_EXCESS * average;
+function isOverloaded(ownerLoad: OwnerLoad, average: number): boolean {
+  return ownerLoad.utilizationLowerBound >
+      computeMaxUtilization(ownerLoad.candidate) &&
+    ownerLoad.utilizationLowerBound > MIN_OVERLOAD_RATIO * average;
 }
 
 /**
- * The share of its places that a target may keep busy: beyond it the wait for a
- * place grows faster than the work put on it. With more places it comes later.
+ * The highest acceptable utilization of a target: above it, the wait for a
+ * place grows faster than the load. More places allow a higher utilization.
  */
 function computeMaxUtilization({ places }: OwnerCandidate): number {
   return 1 - SINGLE_PLACE_HEADROOM / Math.sqrt(Math.max(1, places));
--- a/packages/ownership/src/key_planner_test.ts
+++ b/packages/ownership/src/key_planner_test.ts
@@ -23,7 +23,7 @@
   }));
 }
 
-/** A fixed sequence that looks random, for keys without a pattern. */
+/** A fixed pseudo-random sequence, for keys without a pattern. */
 function createDraw(): () => number {
   let state = 12_345;
   return () => {
@@ -32,7 +32,7 @@
   };
 }
 
-/** Places that each target keeps busy with the requests of the last second. */
+/** The highest utilization of a target by the requests of the last second. */
 function measureBusy(table: KeyTable, keys: readonly number[]) {
   const busy = new Map<string, number>();
   for (const key of keys) {
@@ -42,10 +42,10 @@
   return Math.max(...busy.values());
 }
 
-test("a hot spell is spread within a second and a half, moving few keys", () => {
-  // For 5 s, 44 % of 336 lookups a second are about 60 keys side by side: 148 a
-  // second for one target that can do 33. Its callers wait and are refused
-  // until the keys are spread over several targets.
+test("a hotspot is spread within 1.5 s, moving few keys", () => {
+  // For 5 s, 44% of 336 lookups per second are for about 60 adjacent keys: 148
+  // per second for one target that can serve 33. Its callers wait and are
+  // rejected until the keys are spread over several targets.
   const draw = createDraw();
   const candidates = createCandidates(20);
   const load = new KeyLoad();
@@ -81,13 +81,15 @@
       busyAfter = measureBusy(table, second);
     }
   }
-  // Before: 150 requests of 60 ms in 2 places, 4.5 times what one target can do.
-  assert.ok(busyAfter < 1, `busiest ${busyAfter}`);
+  // Before the moves: 150 requests of 60 ms in 2 places, 4.5 times the capacity
+  // of a target.
+  assert.ok(busyAfter < 1, `highest utilization ${busyAfter}`);
   assert.ok(moved < 0.05 * LAST_KEY, `${moved} keys moved`);
 });
 
-test("an even load in quiet times moves next to nothing", () => {
-  // Each move makes callers wait for about 100 ms, and costs its share.
+test("a light, even load moves next to no keys", () => {
+  // Each move makes callers wait for about 100 ms, and its cost grows with the
+  // keys moved.
   const draw = createDraw();
   const candidates = createCandidates(20);
   const load = new KeyLoad();
@@ -105,8 +107,8 @@
   assert.ok(moved < 0.05 * LAST_KEY, `${moved} keys moved`);
 });
 
-test("targets with four places that are unevenly busy by chance keep their keys", () => {
-  // Each move breaks requests off that its target could have served in time.
+test("targets with four places keep their keys when their load differs by chance", () => {
+  // Each move interrupts requests that their target could have served in time.
   const draw = createDraw();
   const candidates = createCandidates(20)
     .map((one) => ({ ...one, places: 4, serviceMs: 290 }));
@@ -114,7 +116,7 @@
   let table = createTable(candidates, 1);
   let changed = 0;
   for (let nowMs = 0; nowMs < 30_000; nowMs += 200) {
-    // Nearly 0.62 of all places.
+    // Nearly 0.62 of all places are in use.
     const keys = Array.from(
       { length: 34 },
       () => Math.floor(draw() * (LAST_KEY + 1)),
@@ -127,10 +129,10 @@
     changed += changes.length;
     table = settleRanges(applyReassignments(table, changes, nowMs), () => true);
   }
-  assert.ok(changed <= 5, `${changed} stretches moved`);
+  assert.ok(changed <= 5, `${changed} subranges moved`);
 });
 
-test("a lost target's keys are shared out", () => {
+test("the keys of a lost target are shared among the others", () => {
   const [lost, ...rest] = createCandidates(4);
   const table = createTable([lost!, ...rest], 1);
   const changes = planReassignments(table, rest, []);
@@ -155,7 +157,10 @@
   assert.ok(changes.some(({ owner }) => owner.id === "t4"));
 });
 
-/** Rates as a keeper counts them: `busy` keys, by requests a second. */
+/**
+ * Request rates as a keeper counts them; `busy` maps keys to requests per
+ * second.
+ */
 function countRates(busy: ReadonlyMap<number, number>): KeyLoad {
   const load = new KeyLoad();
   for (let step = 0; step < 20; step++) {
@@ -168,7 +173,10 @@
   return load;
 }
 
-/** Plans again and again, each plan settled before the next. */
+/**
+ * Plans several times; the moves of each plan are complete before the next
+ * plan.
+ */
 function runPlans(
   candidates: readonly OwnerCandidate[],
   load: KeyLoad,
@@ -181,10 +189,10 @@
   return table;
 }
 
-test("a key that asks for more than its owner can do goes to the fastest, alone", () => {
-  // Two fifths of all lookups are about one key, and its owner is the slowest of
-  // all: it answers 10 a second, and 28 a second are refused while targets that
-  // could do twice as much have room.
+test("a key that exceeds its owner's capacity moves alone to the fastest target", () => {
+  // Two fifths of all lookups are for one key, and its owner is the slowest
+  // target: it answers 10 per second, and 28 per second are rejected, while
+  // targets with twice its speed have capacity left.
   const speeds = [0.6, 1, 1.4, 1, 0.6];
   const candidates = createCandidates(5)
     .map((one, index) => ({ ...one, serviceMs: 120 / speeds[index]! }));
@@ -195,18 +203,19 @@
   const table = runPlans(candidates, countRates(busy));
   const range = findRange(table, 100)!;
   assert.equal(range.owner.id, "t2");
-  const besides = [...busy.keys()].filter((key) =>
+  const otherKeys = [...busy.keys()].filter((key) =>
     key !== 100 && findRange(table, key)!.owner.id === "t2"
   );
   assert.ok(
-    besides.length <= 1,
-    `${besides.length} other busy keys stay there`,
+    otherKeys.length <= 1,
+    `${otherKeys.length} other busy keys stay with the fastest target`,
   );
 });
 
-test("an owner that cannot be relieved does not keep others from relief", () => {
-  // One key is hot on a target that is as fast as any: nothing can be done for
-  // it. Another target has too much as well, of many keys, and can be relieved.
+test("an owner that cannot be relieved does not block the relief of others", () => {
+  // One key is hot on a target that is as fast as any other, so it cannot be
+  // relieved. A second overloaded target, which has many busy keys, must be
+  // relieved all the same.
   const candidates = createCandidates(4);
   const busy = new Map([[100, 100]]);
   for (let key = 20_000; key < 20_060; key++) {
@@ -218,10 +227,10 @@
       .map((key) => findRange(table, key)!.owner.id),
   );
   assert.equal(findRange(table, 100)!.owner.id, "t0");
-  assert.ok(owners.size > 1, "the busy stretch is spread");
+  assert.ok(owners.size > 1, "the busy subrange is spread");
 });
 
-test("keys that a target's limit leaves unserved pass to others", () => {
+test("keys that exceed a target's request limit move to other targets", () => {
   const candidates = createCandidates(6)
     .map((one, index) => index === 0 ? { ...one, limitPerSecond: 2 } : one);
   const busy = new Map<number, number>();
@@ -229,8 +238,11 @@
     busy.set(key, 0.6);
   }
   const table = runPlans(candidates, countRates(busy));
-  const asked = [...busy]
+  const requestRate = [...busy]
     .filter(([key]) => findRange(table, key)!.owner.id === "t0")
     .reduce((sum, [, perSecond]) => sum + perSecond, 0);
-  assert.ok(asked <= 2, `${asked} a second are asked of it`);
+  assert.ok(
+    requestRate <= 2,
+    `${requestRate} requests per second at the limited target`,
+  );
 });
--- a/packages/ownership/src/key_rate_index.ts
+++ b/packages/ownership/src/key_rate_index.ts
@@ -1,6 +1,8 @@
-/** Rates of keys in the order of keys, summed over any stretch in a few steps. */
+/**
+ * Request rates sorted by key, which can be summed over any range in O(log n).
+ */
 
-/** Requests a second for one key, as counted for one purpose. */
+/** Requests per second for one key, over one of the windows. */
 export interface CountedRate {
   readonly key: number;
   readonly perSecond: number;
@@ -11,7 +13,7 @@
   /** Sum of all rates before each index. */
   readonly #before: Float64Array;
 
-  /** `rates` are in the order of keys. */
+  /** `rates` must be sorted by key. */
   constructor(rates: readonly CountedRate[]) {
     this.#rates = rates;
     this.#before = new Float64Array(rates.length + 1);
@@ -20,18 +22,18 @@
     }
   }
 
-  /** Requests a second for the keys from `from` to `to`, both included. */
+  /** Requests per second for the keys from `from` to `to`, inclusive. */
   computeSum(from: number, to: number): number {
     return this.#before[this.#findIndex(to + 1)]! -
       this.#before[this.#findIndex(from)]!;
   }
 
-  /** The keys that have a rate, from `from` to `to`, both included. */
+  /** Rates of the requested keys from `from` to `to`, inclusive. */
   list(from: number, to: number): readonly CountedRate[] {
     return this.#rates.slice(this.#findIndex(from), this.#findIndex(to + 1));
   }
 
-  /** Index of the first rate whose key is not below `key`. */
+  /** Index of the first rate whose key is at least `key`. */
   #findIndex(key: number): number {
     let low = 0;
     let high = this.#rates.length;
--- a/packages/ownership/src/key_table.ts
+++ b/packages/ownership/src/key_table.ts
@@ -1,11 +1,11 @@
 /**
- * Which target owns which keys of one service: ranges that cover all keys, in
- * order, each with its owner and the fencing token of its grant.
+ * Maps the keys of one service to the targets that own them, as consecutive
+ * ranges that cover all keys, each with its owner and the fencing token of its
+ * grant.
  *
- * A range whose former holders may still hold it names them. Nobody may be
- * granted the range before each of them has released it, has provably ended,
- * or has run out of its hold; whoever takes the table up after a crash can go
- * on from it.
+ * A range lists its former holders as long as they may still hold it. The range
+ * must not be granted before each of them has released it, has provably ended,
+ * or its hold has expired. Any keeper can resume from the table after a crash.
  */
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import { hasOverlap, LAST_KEY } from "@lentilspur/ports/key_orders";
@@ -13,11 +13,12 @@
 /** A target that keys can be assigned to. */
 export interface Assignee {
   readonly id: string;
-  /** `host:port`, by IP number. */
+  /** `host:port`, with an IP address. */
   readonly address: string;
   /**
-   * When this life of it began, in Unix milliseconds by its own clock; a target
-   * may start again under its id. Undefined where it does not say.
+   * Start of this incarnation of the target, in Unix milliseconds by its own
+   * clock; a target may restart under its id. Undefined if the target does not
+   * report it.
    */
   readonly bornMs?: number;
 }
@@ -27,7 +28,7 @@
   readonly token: number;
 }
 
-/** Whether both are a target at one place, in whatever life. */
+/** Whether both are the same target at the same address, in any incarnation. */
 export function isSameEndpoint(left: Assignee, right: Assignee): boolean {
   return left.id === right.id && left.address === right.address;
 }
@@ -40,7 +41,10 @@
   readonly from: number;
   readonly to: number;
   readonly owner: Holder;
-  /** Holders before it that may hold it yet; empty once the owner has it. */
+  /**
+   * Earlier holders that may still hold the range; empty once the owner has
+   * been granted it.
+   */
   readonly former: readonly Holder[];
 }
 
@@ -48,7 +52,7 @@
   readonly ranges: readonly OwnedRange[];
 }
 
-/** The range that holds a key. */
+/** The range that contains a key. */
 export function findRange(
   table: KeyTable,
   key: number,
@@ -69,7 +73,7 @@
   return undefined;
 }
 
-/** A part of the keys that is to pass to another owner. */
+/** A range of keys that is to pass to another owner. */
 export interface Reassignment {
   readonly from: number;
   readonly to: number;
@@ -77,8 +81,8 @@
 }
 
 /**
- * The table with some keys reassigned under `token`, which is above all tokens
- * in it. Former holders stay named until they are known to hold nothing.
+ * Reassigns keys under `token`, which is higher than all tokens in the table.
+ * Former holders stay listed until they are known to hold nothing.
  */
 export function applyReassignments(
   table: KeyTable,
@@ -93,8 +97,8 @@
 }
 
 /**
- * The table with some ranges assigned to their owners anew, under `token`:
- * `getLife` gives the owner's present life, and undefined where a range stays.
+ * Assigns ranges to their owners again under `token`. `getIncarnation` returns
+ * the owner's current incarnation, or undefined if a range stays unchanged.
  */
 export function renewTokens(
   table: KeyTable,
@@ -102,23 +106,23 @@
   token: number,
 ): KeyTable {
   const ranges = table.ranges.map((range) => {
-    const life = getIncarnation(range);
-    return life === undefined
+    const incarnation = getIncarnation(range);
+    return incarnation === undefined
       ? range
-      : { ...range, owner: createHolder(life, token) };
+      : { ...range, owner: createHolder(incarnation, token) };
   });
   return { ranges };
 }
 
 /**
- * Stretches that each owner is dealt at first. Busy keys lie side by side, so
- * one stretch for each owner would leave half of all requests to a few of them.
+ * Ranges per owner in the first table. Busy keys are adjacent, so with one
+ * range per owner, half of all requests would go to a few owners.
  */
 const INITIAL_RANGES_PER_OWNER = 6;
-/** Each range costs its keeper a renewal a second, whoever owns it. */
+/** Each range costs its keeper one renewal per second, whoever owns it. */
 const MAX_INITIAL_RANGES = 400;
 
-/** All keys dealt out evenly, as the first table of a service. */
+/** Distributes all keys evenly, as the first table of a service. */
 export function createTable(
   owners: readonly Assignee[],
   token: number,
@@ -138,7 +142,7 @@
   return { ranges: mergeNeighbours(ranges, token) };
 }
 
-/** The table with some ranges settled: their owners have been granted them. */
+/** Removes the former holders of ranges that their owners have been granted. */
 export function settleRanges(
   table: KeyTable,
   isSettled: (range: OwnedRange) => boolean,
@@ -149,7 +153,9 @@
   return { ranges };
 }
 
-/** Ranges of the later table that the earlier one does not have as they are. */
+/**
+ * Ranges of the later table that the earlier table does not contain unchanged.
+ */
 export function diffTables(
   before: KeyTable,
   after: KeyTable,
@@ -159,51 +165,57 @@
 }
 
 /**
- * The earlier table with the difference applied. The ranges of a difference
- * cover whole ranges of the earlier table, since both cover all keys.
+ * Applies the result of `diffTables` to the earlier table. The ranges of a
+ * patch cover whole ranges of the earlier table, since both tables cover all
+ * keys.
  */
 export function applyTablePatch(
   before: KeyTable,
   patch: readonly OwnedRange[],
 ): KeyTable {
-  const stay = before.ranges.filter((range) =>
+  const unchanged = before.ranges.filter((range) =>
     !patch.some((one) => hasOverlap(one, range))
   );
-  const ranges = [...stay, ...patch]
+  const ranges = [...unchanged, ...patch]
     .toSorted((left, right) => left.from - right.from);
   return { ranges };
 }
 
-/** As it stands in a record: each target once, each range in a few numbers. */
+/**
+ * Stored form of a table: each target appears once, each range as a few
+ * numbers.
+ */
 interface CompactTable {
-  /** Id, address and, where it tells, when its life began. */
+  /**
+   * Id, address and, if the target reports it, the start of its incarnation.
+   */
   readonly targets: readonly (readonly [string, string, number?])[];
   /**
    * First and last key, then target and token of the owner and of each former
-   * holder, the target as its place among `targets`.
+   * holder. A target is given as its index in `targets`.
    */
   readonly ranges: readonly (readonly number[])[];
 }
 
 /**
- * A range takes some 25 bytes. Written out in full it took 150, and with 180
- * targets the record was refused by the store for its size (256 KB): nothing
- * could be moved any more.
+ * Uses about 25 bytes per range. Written out in full, a range took 150 bytes,
+ * and with 180 targets the store rejected the record for its size (limit: 256
+ * KB), so no key could be moved any more.
  */
 export function serializeTable({ ranges }: KeyTable): string {
-  const places = new Map<string, number>();
+  const indexes = new Map<string, number>();
   const targets: [string, string, number?][] = [];
   const locate = ({ id, address, bornMs }: Assignee) => {
     const name = JSON.stringify([id, address, bornMs]);
-    let place = places.get(name);
-    if (place === undefined) {
-      place = targets.length;
-      places.set(name, place);
+    let index = indexes.get(name);
+    if (index === undefined) {
+      index = targets.length;
+      indexes.set(name, index);
       targets.push(
         bornMs === undefined ? [id, address] : [id, address, bornMs],
       );
     }
-    return place;
+    return index;
   };
   const compact: CompactTable = {
     targets,
@@ -216,16 +228,19 @@
   return JSON.stringify(compact);
 }
 
-/** Fails where the text is no table, or the ranges do not cover all keys in order. */
+/**
+ * Fails if the text is not a table, or if its ranges do not cover all keys in
+ * order.
+ */
 export function parseTable(text: string): Result<KeyTable, string> {
   let value: unknown;
   try {
     value = JSON.parse(text);
   } catch (error) {
-    return Err(`The table of owners is no JSON: ${String(error)}`);
+    return Err(`The ownership table is not valid JSON: ${String(error)}`);
   }
   if (!isCompactTable(value)) {
-    return Err("The table of owners lacks ranges, owners or tokens");
+    return Err("The ownership table lacks ranges, owners or tokens");
   }
   const ranges: OwnedRange[] = [];
   let next = 0;
@@ -233,7 +248,9 @@
     const [from, to] = range as [number, number];
     const holders = listHolders(range, value.targets);
     if (from !== next || to < from || holders === undefined) {
-      return Err(`The table of owners has a gap or fault at key ${next}`);
+      return Err(
+        `The ownership table has a gap or an invalid range at key ${next}`,
+      );
     }
     const [owner, ...former] = holders;
     ranges.push({ from, to, owner: owner!, former });
@@ -241,10 +258,10 @@
   }
   return next === LAST_KEY + 1
     ? Ok({ ranges })
-    : Err(`The table of owners ends at key ${next - 1}`);
+    : Err(`The ownership table ends at key ${next - 1} instead of ${LAST_KEY}`);
 }
 
-/** Undefined where a range names none, or one that there is not. */
+/** Undefined if a range names no holder or an unknown target. */
 function listHolders(
   range: readonly number[],
   targets: CompactTable["targets"],
@@ -309,7 +326,7 @@
   return pieces;
 }
 
-/** A holder that becomes the owner again need not give the range up first. */
+/** A holder that becomes the owner again need not release the range first. */
 function listFormer(range: OwnedRange, owner: Assignee): readonly Holder[] {
   return [...range.former, range.owner]
     .filter((holder) => !isSameEndpoint(holder, owner));
@@ -323,8 +340,9 @@
 }
 
 /**
- * Neighbours of one owner become one range under the new token; without this a
- * hot spell would leave its pieces, and a renewal for each of them, for good.
+ * Merges adjacent ranges of one owner into one range under the new token.
+ * Otherwise the subranges of a hotspot, and a renewal for each of them, would
+ * remain forever.
  */
 function mergeNeighbours(
   ranges: readonly OwnedRange[],
--- a/packages/ownership/src/key_table_test.ts
+++ b/packages/ownership/src/key_table_test.ts
@@ -13,7 +13,7 @@
 
 const OWNERS = ["a", "b", "c"].map((id) => ({ id, address: `${id}:80` }));
 
-test("whatever is reassigned, the ranges cover all keys and name who held them", () => {
+test("after any reassignments, the ranges cover all keys and list former holders", () => {
   const change = fc.record({
     from: fc.integer({ min: 0, max: LAST_KEY }),
     width: fc.integer({ min: 0, max: 20_000 }),
@@ -43,7 +43,7 @@
   );
 });
 
-test("a table with a gap is refused, and what was known stays", () => {
+test("a table with a gap or an invalid range is rejected", () => {
   const table = createTable(OWNERS, 1);
   const text = serializeTable({ ranges: table.ranges.slice(1) });
   assert.ok(!parseTable(text).ok);
@@ -55,8 +55,8 @@
   }
 });
 
-test("the table of a hundred and eighty targets fits into a record", () => {
-  // A store takes 256 KB a record. Ranges that are on their way name two and
+test("the table of 180 targets fits into one store record", () => {
+  // The store accepts at most 256 KB per record. Ranges in transfer list two or
   // three holders each.
   const owners = Array.from({ length: 180 }, (_, index) => ({
     id: `i-${index}d00bed0cd`,
--- a/packages/ownership/src/merge_plan.ts
+++ b/packages/ownership/src/merge_plan.ts
@@ -1,8 +1,10 @@
 /**
- * Which narrow ranges pass to a neighbour's owner, so that there are fewer.
+ * Plans merges: narrow ranges pass to the owner of the preceding range, which
+ * reduces the number of ranges.
  *
- * A hot spell is cut into narrow ranges, each with a renewal a second. When it
- * is over they carry next to nothing, and would cost their renewals for good.
+ * A hotspot is split into narrow ranges, each of which costs one renewal per
+ * second. After the hotspot these ranges carry next to no requests, but would
+ * cost their renewals forever.
  */
 import type { KeyTable, OwnedRange, Reassignment } from "./key_table.ts";
 import {
@@ -13,48 +15,50 @@
   type OwnerLoad,
 } from "./owner_load.ts";
 
-/** Few at a time: a merge is of use later, a move of busy keys now. */
+/** Few at a time: a merge pays off later, a move of busy keys at once. */
 const MAX_MERGES = 4;
-/** A range that keeps more than this share of its owner busy stays. */
-const MAX_BUSY = 0.03;
-/** Wider ones are what the keys were dealt out in. */
-const MAX_WIDTH = 200;
+/**
+ * A range that uses at least this share of its owner's capacity is not merged.
+ */
+const MAX_UTILIZATION = 0.03;
+/** Wider ranges come from the initial distribution and are not merged. */
+const MAX_MERGED_WIDTH = 200;
 
 export function planMerges(
   table: KeyTable,
-  standings: ReadonlyMap<string, OwnerLoad>,
-  lines: KeyRateIndexes,
+  ownerLoads: ReadonlyMap<string, OwnerLoad>,
+  rateIndexes: KeyRateIndexes,
 ): readonly Reassignment[] {
-  const average = computeAverageUtilization(standings);
+  const average = computeAverageUtilization(ownerLoads);
   const changes: Reassignment[] = [];
-  let before: OwnedRange | undefined;
+  let previous: OwnedRange | undefined;
   for (const range of table.ranges) {
-    const giver = standings.get(range.owner.id);
-    const receiver = before && standings.get(before.owner.id);
-    const isMergeable = giver !== undefined && receiver !== undefined &&
-      giver !== receiver && before!.former.length === 0 &&
-      isUnmoved(giver, range) && isUnmoved(receiver, before!) &&
-      receiver.utilization <= average && isIdle(range, giver, lines);
+    const source = ownerLoads.get(range.owner.id);
+    const destination = previous && ownerLoads.get(previous.owner.id);
+    const isMergeable = source !== undefined && destination !== undefined &&
+      source !== destination && previous!.former.length === 0 &&
+      isUnmoved(source, range) && isUnmoved(destination, previous!) &&
+      destination.utilization <= average && isIdle(range, source, rateIndexes);
     if (isMergeable) {
       const { from, to } = range;
-      const perSecond = lines.longTerm.computeSum(from, to);
+      const perSecond = rateIndexes.longTerm.computeSum(from, to);
       changes.push(
-        moveKeys({ giver, receiver, keys: { from, to, perSecond } }),
+        moveKeys({ source, destination, keys: { from, to, perSecond } }),
       );
     }
     if (changes.length === MAX_MERGES) {
       break;
     }
-    // One on its way cannot take the next: it is no neighbour yet.
-    before = isMergeable ? undefined : range;
+    // A range in transfer cannot be merged with the next one.
+    previous = isMergeable ? undefined : range;
   }
   return changes;
 }
 
-/** Whether the plan has not moved any of it yet. */
-function isUnmoved(standing: OwnerLoad, range: OwnedRange): boolean {
+/** Whether the plan has not moved any part of the range yet. */
+function isUnmoved(ownerLoad: OwnerLoad, range: OwnedRange): boolean {
   return range.former.length === 0 &&
-    standing.ranges.some(({ from, to }) =>
+    ownerLoad.ranges.some(({ from, to }) =>
       from === range.from && to === range.to
     );
 }
@@ -62,12 +66,12 @@
 function isIdle(
   { from, to }: OwnedRange,
   { candidate }: OwnerLoad,
-  { longTerm: usual, recent }: KeyRateIndexes,
+  { longTerm, recent }: KeyRateIndexes,
 ): boolean {
   const perSecond = Math.max(
-    usual.computeSum(from, to),
+    longTerm.computeSum(from, to),
     recent.computeSum(from, to),
   );
-  return to - from < MAX_WIDTH &&
-    perSecond < MAX_BUSY * computeCapacity(candidate);
+  return to - from < MAX_MERGED_WIDTH &&
+    perSecond < MAX_UTILIZATION * computeCapacity(candidate);
 }
--- a/packages/ownership/src/orphan_plan.ts
+++ b/packages/ownership/src/orphan_plan.ts
@@ -1,4 +1,4 @@
-/** Where keys go whose owner is gone or leaving. */
+/** Plans new owners for keys whose owner is gone or leaving. */
 import {
   isSameEndpoint,
   type KeyTable,
@@ -13,29 +13,32 @@
 } from "./owner_load.ts";
 import type { KeyRateIndex } from "./key_rate_index.ts";
 
-/** Ranges without a usable owner go where there is most room, piece by piece. */
+/**
+ * Moves each piece of a range without a usable owner to the target with the
+ * lowest utilization.
+ */
 export function planOrphans(
   table: KeyTable,
-  standings: ReadonlyMap<string, OwnerLoad>,
+  ownerLoads: ReadonlyMap<string, OwnerLoad>,
   rates: KeyRateIndex,
 ): readonly Reassignment[] {
   const changes: Reassignment[] = [];
   for (const range of table.ranges) {
-    const owner = standings.get(range.owner.id)?.candidate;
-    // One that has started again elsewhere is not where its keys are.
+    const owner = ownerLoads.get(range.owner.id)?.candidate;
+    // A target that restarted at another address does not hold its former keys.
     if (owner !== undefined && isSameEndpoint(owner, range.owner)) {
       continue;
     }
-    const pieceRate = PIECE_SHARE * computeMeanRate(standings);
+    const pieceRate = PIECE_SHARE * computeMeanRate(ownerLoads);
     for (const piece of splitOrphan(range, rates, pieceRate)) {
-      const receiver = chooseLeastUtilized(standings);
-      receiver.utilization +=
-        computeUtilization(receiver.candidate, piece.perSecond) +
+      const destination = chooseLeastUtilized(ownerLoads);
+      destination.utilization +=
+        computeUtilization(destination.candidate, piece.perSecond) +
         piece.width / 1e7;
       changes.push({
         from: piece.from,
         to: piece.to,
-        owner: receiver.candidate,
+        owner: destination.candidate,
       });
     }
   }
@@ -49,19 +52,24 @@
   readonly perSecond: number;
 }
 
-/** Pieces of an orphaned range at most; several receivers share its load. */
-const ORPHAN_PIECES = 3;
-/** A receiver is given this share of its rate at once; less makes ranges only. */
+/**
+ * Maximum pieces of an orphaned range, so that several targets share its load.
+ */
+const MAX_PIECES = 3;
+/**
+ * Load of one piece as a share of the mean capacity of a target; smaller pieces
+ * would only add ranges.
+ */
 const PIECE_SHARE = 0.15;
-/** A range of more keys is shared out though nobody asks for them yet. */
-const WIDE = 1_000;
+/** A range of more keys is split even if none of them is requested yet. */
+const WIDE_RANGE_KEYS = 1_000;
 
-function computeMeanRate(standings: ReadonlyMap<string, OwnerLoad>): number {
+function computeMeanRate(ownerLoads: ReadonlyMap<string, OwnerLoad>): number {
   let sum = 0;
-  for (const { candidate } of standings.values()) {
+  for (const { candidate } of ownerLoads.values()) {
     sum += computeCapacity(candidate);
   }
-  return sum / Math.max(1, standings.size);
+  return sum / Math.max(1, ownerLoads.size);
 }
 
 function splitOrphan(
@@ -71,11 +79,11 @@
 ): readonly Piece[] {
   const total = rates.computeSum(range.from, range.to);
   const width = range.to - range.from + 1;
-  const most = Math.min(ORPHAN_PIECES, width);
+  const maxPieces = Math.min(MAX_PIECES, width);
   if (total < 1) {
-    return splitEvenly(range, width > WIDE ? most : 1);
+    return splitEvenly(range, width > WIDE_RANGE_KEYS ? maxPieces : 1);
   }
-  const count = Math.min(most, Math.max(1, Math.ceil(total / pieceRate)));
+  const count = Math.min(maxPieces, Math.max(1, Math.ceil(total / pieceRate)));
   const pieces: Piece[] = [];
   let from = range.from;
   let sum = 0;
@@ -89,8 +97,8 @@
       sum = 0;
     }
   }
-  const rest = range.to - from + 1;
-  pieces.push({ from, to: range.to, width: rest, perSecond: sum });
+  const restWidth = range.to - from + 1;
+  pieces.push({ from, to: range.to, width: restWidth, perSecond: sum });
   return pieces;
 }
 
--- a/packages/ownership/src/owner_load.ts
+++ b/packages/ownership/src/owner_load.ts
@@ -1,6 +1,6 @@
 /**
- * How busy each target that may own keys is, from the keys that it owns and how
- * often they are asked for.
+ * Computes the utilization of each target that may own keys, from the keys that
+ * it owns and their request rates.
  */
 import { splitRange } from "@lentilspur/ports/key_orders";
 import {
@@ -21,29 +21,32 @@
 /** A target that may own keys. */
 export interface OwnerCandidate extends Assignee {
   readonly places: number;
-  /** Work of one request, in milliseconds. */
+  /** Processing time of one request, in milliseconds. */
   readonly serviceMs: number;
-  /** Requests a second that it takes, whatever it could do. */
+  /** Requests per second that the target accepts, whatever its capacity. */
   readonly limitPerSecond?: number;
 }
 
 /**
- * What is counted of late is taken for less by this many of its own standard
- * deviations: a target's share of a quiet second is 20 requests, give or take 4.
+ * The recent rate is lowered by this many of its standard deviations: a target
+ * receives 20 requests in a quiet second, plus or minus 4.
  */
 const RECENT_DEVIATIONS = 1.5;
-/** The same for what is counted over a longer time. */
+/** The same for the long-term rate. */
 const LONG_TERM_DEVIATIONS = 0.7;
-/** A target that takes nothing is planned for as one that takes this much. */
+/**
+ * A target that accepts no requests is planned for as if it accepted this many
+ * per second.
+ */
 const MIN_LIMIT = 0.1;
 
 export interface OwnerLoad {
   readonly candidate: OwnerCandidate;
-  /** Places kept busy, as a share of all of its places. */
+  /** Load as a share of the candidate's capacity. */
   utilization: number;
-  /** As above, less what chance may have added to the count. */
+  /** The same, less what chance may have added to the counts. */
   utilizationLowerBound: number;
-  /** Whether it is of late that it is busy. */
+  /** Whether the recent rate is clearly above the long-term rate. */
   isHotspot: boolean;
   ranges: OwnedRange[];
 }
@@ -51,7 +54,7 @@
 export function createOwnerLoads(
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
-  lines: KeyRateIndexes,
+  rateIndexes: KeyRateIndexes,
 ): Map<string, OwnerLoad> {
   const owned = new Map<string, OwnedRange[]>();
   for (const range of table.ranges) {
@@ -59,59 +62,65 @@
     ranges.push(range);
     owned.set(range.owner.id, ranges);
   }
-  const standings = new Map<string, OwnerLoad>();
+  const ownerLoads = new Map<string, OwnerLoad>();
   for (const candidate of candidates) {
     const ranges = (owned.get(candidate.id) ?? [])
       .filter((range) => isSameEndpoint(range.owner, candidate));
-    standings.set(candidate.id, createOwnerLoad(candidate, ranges, lines));
+    ownerLoads.set(
+      candidate.id,
+      createOwnerLoad(candidate, ranges, rateIndexes),
+    );
   }
-  return standings;
+  return ownerLoads;
 }
 
 export function createOwnerLoad(
   candidate: OwnerCandidate,
   ranges: OwnedRange[],
-  lines: KeyRateIndexes,
+  rateIndexes: KeyRateIndexes,
 ): OwnerLoad {
-  let usual = 0;
+  let longTerm = 0;
   let recent = 0;
   for (const range of ranges) {
-    usual += lines.longTerm.computeSum(range.from, range.to);
-    recent += lines.recent.computeSum(range.from, range.to);
+    longTerm += rateIndexes.longTerm.computeSum(range.from, range.to);
+    recent += rateIndexes.recent.computeSum(range.from, range.to);
   }
-  const certain = estimateRateLowerBound(
+  const recentLowerBound = estimateRateLowerBound(
     recent,
     RECENT_TIME_CONSTANT_MS,
     RECENT_DEVIATIONS,
   );
-  const lasting = estimateRateLowerBound(
-    usual,
+  const longTermLowerBound = estimateRateLowerBound(
+    longTerm,
     LONG_TERM_TIME_CONSTANT_MS,
     LONG_TERM_DEVIATIONS,
   );
   return {
     candidate,
-    utilization: computeUtilization(candidate, Math.max(usual, certain)),
+    utilization: computeUtilization(
+      candidate,
+      Math.max(longTerm, recentLowerBound),
+    ),
     utilizationLowerBound: computeUtilization(
       candidate,
-      Math.max(lasting, certain),
+      Math.max(longTermLowerBound, recentLowerBound),
     ),
-    isHotspot: certain > usual,
+    isHotspot: recentLowerBound > longTerm,
     ranges,
   };
 }
 
-/** A rate less some standard deviations of its count within a time. */
+/** A rate less some standard deviations of its count within `withinMs`. */
 function estimateRateLowerBound(
   perSecond: number,
   withinMs: number,
   deviations: number,
 ): number {
-  const counted = Math.max(1, perSecond * withinMs / 1_000);
-  return perSecond * Math.max(0, 1 - deviations / Math.sqrt(counted));
+  const count = Math.max(1, perSecond * withinMs / 1_000);
+  return perSecond * Math.max(0, 1 - deviations / Math.sqrt(count));
 }
 
-/** The same keys by both counts. */
+/** Rates of the same keys over both windows. */
 export interface KeyRateIndexes {
   readonly longTerm: KeyRateIndex;
   readonly recent: KeyRateIndex;
@@ -120,7 +129,7 @@
 export function createRateIndexes(rates: readonly KeyRate[]): KeyRateIndexes {
   return {
     longTerm: new KeyRateIndex(
-      rates.map(({ key, longTerm: usual }) => ({ key, perSecond: usual })),
+      rates.map(({ key, longTerm }) => ({ key, perSecond: longTerm })),
     ),
     recent: new KeyRateIndex(
       rates.map(({ key, recent }) => ({ key, perSecond: recent })),
@@ -129,34 +138,37 @@
 }
 
 export function chooseLeastUtilized(
-  standings: ReadonlyMap<string, OwnerLoad>,
+  ownerLoads: ReadonlyMap<string, OwnerLoad>,
 ): OwnerLoad {
   let best: OwnerLoad | undefined;
-  for (const standing of standings.values()) {
-    if (best === undefined || standing.utilization < best.utilization) {
-      best = standing;
+  for (const ownerLoad of ownerLoads.values()) {
+    if (best === undefined || ownerLoad.utilization < best.utilization) {
+      best = ownerLoad;
     }
   }
   return best!;
 }
 
 export function computeAverageUtilization(
-  standings: ReadonlyMap<string, OwnerLoad>,
+  ownerLoads: ReadonlyMap<string, OwnerLoad>,
 ): number {
   let load = 0;
   let rate = 0;
-  for (const standing of standings.values()) {
-    load += standing.utilization * computeCapacity(standing.candidate);
-    rate += computeCapacity(standing.candidate);
+  for (const ownerLoad of ownerLoads.values()) {
+    load += ownerLoad.utilization * computeCapacity(ownerLoad.candidate);
+    rate += computeCapacity(ownerLoad.candidate);
   }
   return rate === 0 ? 0 : load / rate;
 }
 
-/** Requests a second that it can do: all that it takes, or all of its places. */
+/**
+ * Requests per second that a candidate can serve: the throughput of all its
+ * places, or its limit if that is lower.
+ */
 export function computeCapacity(candidate: OwnerCandidate): number {
   const { places, serviceMs, limitPerSecond = Infinity } = candidate;
-  const most = places * 1_000 / Math.max(1, serviceMs);
-  return Math.min(most, Math.max(MIN_LIMIT, limitPerSecond));
+  const throughput = places * 1_000 / Math.max(1, serviceMs);
+  return Math.min(throughput, Math.max(MIN_LIMIT, limitPerSecond));
 }
 
 export function computeUtilization(
@@ -166,34 +178,37 @@
   return perSecond / computeCapacity(candidate);
 }
 
-/** Counts a move at once, so that the next one of the same plan sees it. */
-export function moveKeys({ giver, receiver, keys }: {
-  readonly giver: OwnerLoad;
-  readonly receiver: OwnerLoad;
+/**
+ * Applies a move to both owners at once, so that the next move of the same plan
+ * takes it into account.
+ */
+export function moveKeys({ source, destination, keys }: {
+  readonly source: OwnerLoad;
+  readonly destination: OwnerLoad;
   readonly keys: Subrange;
 }): Reassignment {
   const { from, to } = keys;
-  giver.utilization -= computeUtilization(giver.candidate, keys.perSecond);
-  giver.utilizationLowerBound -= computeUtilization(
-    giver.candidate,
+  source.utilization -= computeUtilization(source.candidate, keys.perSecond);
+  source.utilizationLowerBound -= computeUtilization(
+    source.candidate,
     keys.perSecond,
   );
-  giver.ranges = giver.ranges.flatMap((range) => splitRange(range, keys));
-  receiver.utilization += computeUtilization(
-    receiver.candidate,
+  source.ranges = source.ranges.flatMap((range) => splitRange(range, keys));
+  destination.utilization += computeUtilization(
+    destination.candidate,
     keys.perSecond,
   );
-  receiver.utilizationLowerBound += computeUtilization(
-    receiver.candidate,
+  destination.utilizationLowerBound += computeUtilization(
+    destination.candidate,
     keys.perSecond,
   );
-  receiver.isHotspot ||= giver.isHotspot;
-  receiver.ranges.push({
+  destination.isHotspot ||= source.isHotspot;
+  destination.ranges.push({
     from,
     to,
-    owner: { ...receiver.candidate, token: 0 },
-    // Marks it as on its way: a plan does not move a key twice.
-    former: [{ ...giver.candidate, token: 0 }],
+    owner: { ...destination.candidate, token: 0 },
+    // Marks the range as in transfer: a plan does not move a key twice.
+    former: [{ ...source.candidate, token: 0 }],
   });
-  return { from, to, owner: receiver.candidate };
+  return { from, to, owner: destination.candidate };
 }
--- a/packages/ownership/src/partition_state.ts
+++ b/packages/ownership/src/partition_state.ts
@@ -1,4 +1,4 @@
-/** What a partition of the table of owners says, read as a whole. */
+/** Parses the records of one partition of the ownership table. */
 import type { StoreRecord } from "@lentilspur/ports/store";
 import {
   KEEPER_KEY,
@@ -11,16 +11,16 @@
 import { type KeyTable, parseTable } from "./key_table.ts";
 
 export interface PartitionState {
-  /** Offset of the newest claim; undefined where nobody has claimed yet. */
+  /** Offset of the newest claim; undefined if no keeper has claimed yet. */
   readonly term: number | undefined;
   readonly claim: KeeperClaim | undefined;
-  /** Those of the present term; empty where its keeper has named none. */
+  /** Witnesses of the current term; empty if its keeper has recorded none. */
   readonly witnesses: readonly string[];
-  /** Keepers before the present one that may act yet. */
+  /** Keepers before the current one that may still act. */
   readonly unresolved: readonly UnresolvedKeeper[];
   readonly tables: ReadonlyMap<string, KeyTable>;
   readonly end: number;
-  /** Records that cannot be read, with the reason; they are left alone. */
+  /** Unreadable records, each with the reason; parsing skips them. */
   readonly faults: readonly string[];
 }
 
@@ -36,7 +36,8 @@
   for (const { key, value, offset } of records) {
     if (key === KEEPER_KEY) {
       claim = parseClaim(value);
-      // A resignation is a record of the keeper's own; its term ends with it.
+      // A resignation is a claim record as well, so it ends the term of its
+      // keeper.
       term = offset;
     } else if (key === WITNESSES_KEY) {
       witnesses = parseWitnesses(value);
@@ -49,12 +50,12 @@
       }
     }
   }
-  const present = witnesses?.term === term ? witnesses : undefined;
+  const current = witnesses?.term === term ? witnesses : undefined;
   return {
     term,
     claim,
-    witnesses: present?.instances ?? [],
-    unresolved: (present ?? claim)?.unresolved ?? [],
+    witnesses: current?.instances ?? [],
+    unresolved: (current ?? claim)?.unresolved ?? [],
     tables,
     end,
     faults,
@@ -69,7 +70,7 @@
       ? value!
       : undefined;
   } catch {
-    // Nobody is named then, which makes a successor wait the longest.
+    // Without readable witnesses, a successor waits the longest.
     return undefined;
   }
 }
@@ -82,7 +83,7 @@
       ? claim
       : undefined;
   } catch {
-    // No claim can be read in it, which is what the result says.
+    // An unreadable claim counts as no claim.
     return undefined;
   }
 }
--- a/packages/ownership/src/subrange_selection.ts
+++ b/packages/ownership/src/subrange_selection.ts
@@ -1,8 +1,13 @@
-/** Which stretch of an owner's keys carries about a wanted part of its load. */
+/**
+ * Selects a subrange of an owner's keys that carries about a wanted part of its
+ * load.
+ */
 import type { OwnedRange } from "./key_table.ts";
 import type { CountedRate, KeyRateIndex } from "./key_rate_index.ts";
 
-/** A stretch that carries less than this share of what is wanted is no help. */
+/**
+ * A subrange with less than this share of the wanted rate is not worth moving.
+ */
 const MIN_RATE_SHARE = 0.4;
 export interface Subrange {
   readonly from: number;
@@ -17,7 +22,7 @@
   return right === undefined || left.to - left.from < right.to - right.from;
 }
 
-/** A whole range, moved as it is: that makes no new ranges. */
+/** A whole range. Moving it as it is creates no new ranges. */
 export function toSubrange(
   rates: KeyRateIndex,
   { from, to }: OwnedRange,
@@ -25,74 +30,79 @@
   return { from, to, perSecond: rates.computeSum(from, to) };
 }
 
-/** Whether a stretch carries most of what is wanted, and not more. */
-export function isCloseToRate(stretch: Subrange, wanted: number): boolean {
-  return stretch.perSecond >= MIN_RATE_SHARE * wanted &&
-    stretch.perSecond <= wanted;
+/**
+ * Whether a subrange carries enough of the wanted rate, and not more than it.
+ */
+export function isCloseToRate(subrange: Subrange, wantedRate: number): boolean {
+  return subrange.perSecond >= MIN_RATE_SHARE * wantedRate &&
+    subrange.perSecond <= wantedRate;
 }
 
-/** The narrowest stretch of a range that carries about `wanted`. */
+/**
+ * The subrange that carries about `wantedRate` with the highest rate per key.
+ */
 export function findNarrowest(
   rates: KeyRateIndex,
   range: OwnedRange,
-  wanted: number,
+  wantedRate: number,
 ): Subrange | undefined {
   let best: Subrange | undefined;
   let sum = 0;
   let first = 0;
-  const within = rates.list(range.from, range.to);
-  for (const [last, rate] of within.entries()) {
+  const rangeRates = rates.list(range.from, range.to);
+  for (const [last, rate] of rangeRates.entries()) {
     sum += rate.perSecond;
-    while (sum > wanted && first < last) {
-      sum -= within[first]!.perSecond;
+    while (sum > wantedRate && first < last) {
+      sum -= rangeRates[first]!.perSecond;
       first++;
     }
-    const stretch = {
-      from: within[first]!.key,
+    const subrange = {
+      from: rangeRates[first]!.key,
       to: rate.key,
       perSecond: sum,
     };
-    if (isCloseToRate(stretch, wanted) && isBetter(stretch, best)) {
-      best = stretch;
+    if (isCloseToRate(subrange, wantedRate) && isBetter(subrange, best)) {
+      best = subrange;
     }
   }
   return best;
 }
 
 /**
- * The stretch at an end of a range that carries about `wanted`. What lasts is
- * moved from the ends: cut from within, a range becomes three, and each costs a
- * renewal several times in a hold. With stretches from within, 19 targets had
- * 130 ranges after 10 s, more than are allowed, and the slowest of them were
- * left with twice the work that they could do in time.
+ * The subrange at one end of a range that carries about `wantedRate`. Lasting
+ * imbalances are reduced by moves from the ends: a cut from within splits a
+ * range into three, each of which costs a renewal several times per hold. With
+ * cuts from within, 19 targets had 130 ranges after 10 s, more than are
+ * allowed, and the slowest targets were left with twice the load that they
+ * could serve in time.
  */
 export function findEdge(
   rates: KeyRateIndex,
   range: OwnedRange,
-  wanted: number,
+  wantedRate: number,
 ): Subrange | undefined {
-  const within = rates.list(range.from, range.to);
-  const first = takeUpTo(within, wanted);
-  const last = takeUpTo([...within].reverse(), wanted);
+  const rangeRates = rates.list(range.from, range.to);
+  const first = takeUpTo(rangeRates, wantedRate);
+  const last = takeUpTo([...rangeRates].reverse(), wantedRate);
   const edges = [
     { from: range.from, to: first.key, perSecond: first.perSecond },
     { from: last.key, to: range.to, perSecond: last.perSecond },
   ];
   return edges
-    .filter(({ perSecond }) => perSecond >= MIN_RATE_SHARE * wanted)
+    .filter(({ perSecond }) => perSecond >= MIN_RATE_SHARE * wantedRate)
     .filter((edge) => edge.from <= edge.to)
     .sort((left, right) => right.perSecond - left.perSecond)[0];
 }
 
-/** The last key up to which the rates add up to no more than `wanted`. */
+/** The last key up to which the rates add up to no more than `wantedRate`. */
 function takeUpTo(
   rates: readonly CountedRate[],
-  wanted: number,
+  wantedRate: number,
 ): { readonly key: number; readonly perSecond: number } {
   let perSecond = 0;
   let key = NaN;
   for (const rate of rates) {
-    if (perSecond + rate.perSecond > wanted) {
+    if (perSecond + rate.perSecond > wantedRate) {
       break;
     }
     perSecond += rate.perSecond;
@@ -101,7 +111,7 @@
   return { key, perSecond };
 }
 
-/** More load a key first: the hottest part of the range. */
+/** Prefers the higher rate per key, which is the hottest part of the range. */
 function isBetter(left: Subrange, right: Subrange | undefined): boolean {
   return right === undefined ||
     left.perSecond / (left.to - left.from + 1) >
--- a/packages/ownership/src/table_planner.ts
+++ b/packages/ownership/src/table_planner.ts
@@ -1,7 +1,7 @@
 /**
- * The next table of a service's owners: the first one, once there is reason to
- * deal its keys out, and then what moves, what is granted anew under a new token,
- * and which moves have ended.
+ * Plans the next ownership table of a service: the initial distribution of its
+ * keys, and after that which ranges move, which ranges are granted again under
+ * a new token, and which moves are complete.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { KeeperTiming } from "./keeper_timing.ts";
@@ -18,7 +18,7 @@
 import type { OwnerCandidate } from "./owner_load.ts";
 import type { TableReconciler } from "./table_reconciler.ts";
 
-/** What a keeper needs to know of one service. */
+/** State of a service that its next table is planned from. */
 export interface ServiceSnapshot {
   readonly service: string;
   /** Targets that may own keys. */
@@ -26,25 +26,28 @@
   readonly rates: readonly KeyRate[];
 }
 
-/** How things stand with a service when its next table is planned. */
+/** A service's current table and the options for its next one. */
 export interface PlanInput {
-  /** Undefined where there is none yet. */
+  /** Undefined if the service has no table yet. */
   readonly table: KeyTable | undefined;
-  /** Whoever carries that table out. */
+  /** Carries out the current table. */
   readonly reconciler: TableReconciler | undefined;
-  /** Of what the next table assigns. */
+  /** Fencing token of the ranges that the next table assigns. */
   readonly token: number;
-  /** Whether owners that have too much are relieved as well. */
+  /** Whether keys of overloaded owners are moved as well. */
   readonly rebalance: boolean;
 }
 
 export interface PlannedTable {
   readonly table: KeyTable;
-  /** Stretches of keys that pass to another owner. */
+  /** Number of ranges that pass to another owner. */
   readonly changes: number;
 }
 
-/** Targets of a service without a table, and since when there are so many. */
+/**
+ * Number of targets of a service without a table, and since when this number is
+ * unchanged.
+ */
 interface TargetCount {
   readonly count: number;
   readonly sinceMs: number;
@@ -60,27 +63,27 @@
     this.#timing = timing;
   }
 
-  /** Undefined where nothing is to be changed. */
-  plan(facts: ServiceSnapshot, basis: PlanInput): PlannedTable | undefined {
-    const { reconciler: keeper, token, rebalance: balances } = basis;
-    const candidates = facts.candidates
-      .filter((candidate) => keeper?.isUnusable(candidate) !== true);
-    if (basis.table === undefined) {
-      return candidates.length === 0 || !this.#mayCreateTable(facts)
+  /** Returns undefined if nothing is to be changed. */
+  plan(snapshot: ServiceSnapshot, input: PlanInput): PlannedTable | undefined {
+    const { reconciler, token, rebalance } = input;
+    const candidates = snapshot.candidates
+      .filter((candidate) => reconciler?.isUnusable(candidate) !== true);
+    if (input.table === undefined) {
+      return candidates.length === 0 || !this.#mayCreateTable(snapshot)
         ? undefined
         : {
           table: createTable(candidates, token),
           changes: candidates.length,
         };
     }
-    // As it stands at the targets: some moves of it may have ended.
+    // Some moves may have completed since the table was recorded.
     const table = settleRanges(
-      basis.table,
-      (range) => keeper?.isSettled(range) === true,
+      input.table,
+      (range) => reconciler?.isSettled(range) === true,
     );
-    const renewed = renewStaleTokens(table, candidates, basis);
-    const changes = planReassignments(table, candidates, facts.rates, {
-      rebalance: balances,
+    const renewed = renewStaleTokens(table, candidates, input);
+    const changes = planReassignments(table, candidates, snapshot.rates, {
+      rebalance,
     });
     return changes.length === 0 && renewed === table ? undefined : {
       table: applyReassignments(renewed, changes, token),
@@ -89,45 +92,50 @@
   }
 
   /**
-   * Whether all targets seem to be there, or keys are asked for already. Dealt
-   * to the first target that registers, all keys would have to move again.
+   * Whether all targets seem to have registered, or keys are already requested.
+   * If the first target that registers got all keys, they would have to move
+   * again.
    */
   #mayCreateTable({ service, candidates, rates }: ServiceSnapshot): boolean {
     const nowMs = this.#clock.readMs();
     const count = candidates.length;
     const known = this.#targetCounts.get(service);
-    const arrival = known?.count === count ? known : { count, sinceMs: nowMs };
-    this.#targetCounts.set(service, arrival);
+    const targetCount = known?.count === count
+      ? known
+      : { count, sinceMs: nowMs };
+    this.#targetCounts.set(service, targetCount);
     return rates.length > 0 ||
-      nowMs - arrival.sinceMs >= this.#timing.distributeAfterMs;
+      nowMs - targetCount.sinceMs >= this.#timing.distributeAfterMs;
   }
 }
 
 /**
- * The table with new tokens for what its owners must not be granted under the
- * old ones. Failure: a target is killed and starts again under its id, and a
- * renewal gives the new life keys under the token of the one before.
+ * Assigns new tokens to ranges that their owners must not be granted under the
+ * old ones. Failure: a target is killed and restarts under its id, and a
+ * renewal gives the new incarnation keys under the token of the previous one.
  */
 function renewStaleTokens(
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
-  { reconciler: keeper, token }: PlanInput,
+  { reconciler, token }: PlanInput,
 ): KeyTable {
-  const lives = new Map(candidates.map((one) => [one.id, one]));
+  const incarnations = new Map(candidates.map((one) => [one.id, one]));
   let hasRenewed = false;
   const renewed = renewTokens(table, (range) => {
-    const life = lives.get(range.owner.id);
-    if (life === undefined || life.address !== range.owner.address) {
+    const incarnation = incarnations.get(range.owner.id);
+    if (
+      incarnation === undefined || incarnation.address !== range.owner.address
+    ) {
       return undefined;
     }
     if (
-      isSameIncarnation(life, range.owner) &&
-      keeper?.hasStaleToken(range) !== true
+      isSameIncarnation(incarnation, range.owner) &&
+      reconciler?.hasStaleToken(range) !== true
     ) {
       return undefined;
     }
     hasRenewed = true;
-    return life;
+    return incarnation;
   }, token);
   return hasRenewed ? renewed : table;
 }
--- a/packages/ownership/src/table_reconciler.ts
+++ b/packages/ownership/src/table_reconciler.ts
@@ -1,12 +1,12 @@
 /**
- * Carries out one service's table of owners: renews what stands, and leads each
- * range that changes owners from its former holders to the new one.
+ * Carries out one service's ownership table: renews grants, and moves each
+ * range that changes owners from its former holders to its new owner.
  *
- * The order of steps is what keeps a key with one owner. The table with the new
- * owner and its token is in the store before this class hears of it. Each
- * former holder is released under the new token, so that it refuses every older
- * grant from then on, or its hold is waited out; only then is the owner
- * granted the range.
+ * The order of steps ensures that a key has only one owner. The table with the
+ * new owner and its token is in the store before this class receives it. Each
+ * former holder is then released under the new token, so that it refuses every
+ * older grant from then on, or its hold is left to expire. Only then is the
+ * range granted to its new owner.
  */
 import {
   hasOverlap,
@@ -30,15 +30,15 @@
   readonly to: number;
   readonly token: number;
   readonly outcome: OrderOutcome["kind"];
-  /** Until its outcome was known, in whole milliseconds. */
+  /** Time until the outcome was known, in whole milliseconds. */
   readonly tookMs: number;
 };
 
-/** What may still be in force of the grants of earlier keepers. */
+/** Grants of earlier keepers that may still be in force. */
 export interface InheritedGrants {
-  /** Before this, a holder that was not released may hold what it did. */
+  /** Until then, a holder that was not released may still hold its ranges. */
   readonly untilMs: number;
-  /** None of them is left that may be carried out late. */
+  /** No grant of an earlier keeper can take effect late. */
   readonly isClean: boolean;
 }
 
@@ -46,62 +46,69 @@
   readonly clock: Clock;
   readonly orders: KeyOrderSender;
   readonly timing: KeeperTiming;
-  /** Asked right before each order: whether this keeper may still act. */
+  /** Checked right before each order: whether this keeper may still act. */
   readonly mayAct: () => boolean;
-  /** Whether the process with this id is known to have ended. */
+  /** Whether the process of this holder is known to have ended. */
   readonly hasEnded: (holder: Holder) => boolean;
-  /** Tokens up to this one were drawn by earlier keepers. */
+  /** Tokens up to this one were issued by earlier keepers. */
   readonly inheritedToken: number;
-  /** Whom earlier keepers may have granted which keys. */
+  /** Ranges with the holders that earlier keepers may have granted them to. */
   readonly inheritedRanges: readonly OwnedRange[];
   readonly getInherited: () => InheritedGrants;
   readonly report: (report: OrderReport) => void;
-  /** A range that was on its way has reached its owner. */
+  /** Called with each range in transfer that its new owner has been granted. */
   readonly onGranted: (range: OwnedRange) => void;
-  /** A target has seen a higher token than this keeper's. */
+  /** Called when a target has seen a higher token than this keeper's. */
   readonly onSuperseded: () => void;
 }
 
-/** What has been done for a range since the table named its owner. */
+/** Progress of a range since the table assigned it to its owner. */
 interface RangeState {
   range: OwnedRange;
   granted: boolean;
   orderInFlight: boolean;
   nextOrderAtMs: number;
-  /** Former holders that have answered a release, and when. */
+  /** When each former holder answered its release, by target id. */
   readonly released: Map<string, number>;
   handover: string | undefined;
-  /** In which the owner's token was first sent; it is sent in no other. */
+  /**
+   * The session in which the owner's token was first sent; the token is sent in
+   * no other session.
+   */
   session: number | undefined;
 }
 
-/** A target's orders have failed all the while. */
+/** A period in which all orders to a target failed. */
 interface FailureStreak {
   readonly sinceMs: number;
   readonly lastMs: number;
 }
 
 /**
- * A target that has been sent no order for this long is tried again. Without it,
- * one that could not be reached once would own nothing for good; more often, and
- * one that never answers costs its new keys 1.2 s each time.
+ * A target that has been sent no order for this long is tried again. Without a
+ * retry, a target that was unreachable once would never own keys again. With a
+ * shorter time, a target that never answers would more often leave its new keys
+ * unserved for 1.2 s.
  */
 const FAILURE_STREAK_VALID_MS = 10_000;
 
 export class TableReconciler {
   readonly #options: TableReconcilerOptions;
   readonly #holds = new HoldTracker();
-  /** Lives of targets that another process has taken the place of. */
+  /** Incarnations of targets whose address another process has taken over. */
   readonly #ended = new Set<string>();
   readonly #failureStreaks = new Map<string, FailureStreak>();
-  /** By the name of the range, in the order of keys. */
+  /** By `formatRange`, in the order of keys. */
   #states: ReadonlyMap<string, RangeState> = new Map();
 
   constructor(options: TableReconcilerOptions) {
     this.#options = options;
   }
 
-  /** The table as the store has it now. Progress of unchanged ranges is kept. */
+  /**
+   * Sets the table as it is now in the store. Progress of unchanged ranges is
+   * kept.
+   */
   setTable(table: KeyTable): void {
     const known = this.#states;
     const before = [...known.values()];
@@ -113,39 +120,42 @@
     );
   }
 
-  /** Ranges whose owner has been granted them and whose former holders hold nothing. */
+  /**
+   * Whether the owner has been granted the range, so that no former holder
+   * holds it.
+   */
   isSettled(range: OwnedRange): boolean {
     return this.#states.get(formatRange(range))?.granted === true;
   }
 
   /**
-   * Whether the owner of a range can be granted it under a new token only. Behind
-   * its address there may be another life of it, which must not get the keys
-   * under a token that the life before had; and nobody but the keeper that drew
-   * a token knows in which session it was sent.
+   * Whether the range may be granted to its owner only under a new token.
+   * Another incarnation of the owner may run at its address, and must not get
+   * the keys under a token of the previous incarnation. Only the keeper that
+   * issued a token can tell in which session the token was sent.
    */
   hasStaleToken(range: OwnedRange): boolean {
     const state = this.#states.get(formatRange(range));
     return state !== undefined && this.#hasStaleToken(state);
   }
 
-  /** Whether a grant of this keeper may still be carried out unseen. */
+  /** Whether an unanswered grant of this keeper can still take effect. */
   hasUnanswered(): boolean {
     return this.#holds.hasUnanswered(this.#options.clock.readMs());
   }
 
-  /** Whether a target has not answered orders for a while, or has ended. */
+  /** Whether a target has not answered orders for some time, or has ended. */
   isUnusable(target: Assignee): boolean {
-    const life = formatAssigneeKey(target);
-    const silence = this.#failureStreaks.get(life);
+    const incarnationKey = formatAssigneeKey(target);
+    const streak = this.#failureStreaks.get(incarnationKey);
     const nowMs = this.#options.clock.readMs();
-    return this.#ended.has(life) ||
-      (silence !== undefined &&
-        nowMs - silence.lastMs < FAILURE_STREAK_VALID_MS &&
-        nowMs - silence.sinceMs >= this.#options.timing.unresponsiveAfterMs);
+    return this.#ended.has(incarnationKey) ||
+      (streak !== undefined &&
+        nowMs - streak.lastMs < FAILURE_STREAK_VALID_MS &&
+        nowMs - streak.sinceMs >= this.#options.timing.unresponsiveAfterMs);
   }
 
-  /** Sends every order that is due. Call it often. */
+  /** Sends every order that is due. Must be called at short intervals. */
   advance(): void {
     const nowMs = this.#options.clock.readMs();
     this.#holds.expire(nowMs);
@@ -179,18 +189,20 @@
     }
   }
 
-  /** One order at a time for a range; none unless this keeper may act. */
-  async #run(state: RangeState, act: () => Promise<void>): Promise<void> {
+  /**
+   * Sends one order at a time per range, and none unless this keeper may act.
+   */
+  async #run(state: RangeState, sendOrder: () => Promise<void>): Promise<void> {
     if (!this.#options.mayAct()) {
       return;
     }
     state.orderInFlight = true;
     try {
-      await act();
+      await sendOrder();
     } finally {
       state.orderInFlight = false;
     }
-    // The next order of a move follows at once: a key has no owner meanwhile.
+    // The next order of a move follows at once, since its keys are unserved.
     const nowMs = this.#options.clock.readMs();
     if (
       !state.granted && nowMs >= state.nextOrderAtMs && this.#isPresent(state)
@@ -199,7 +211,7 @@
     }
   }
 
-  /** Whether the table still has the range. */
+  /** Whether the table still contains the range. */
   #isPresent(state: RangeState): boolean {
     return this.#states.get(formatRange(state.range)) === state;
   }
@@ -228,9 +240,9 @@
   }
 
   /**
-   * When no grant can be carried out late on a holder that was released. What
-   * reaches it after the release is refused for its token; what reached it
-   * before counts from then.
+   * When no grant can take effect late on a holder that was released. The
+   * holder refuses grants that arrive after the release because of their
+   * tokens; the hold of a grant that arrived before starts at its arrival.
    */
   #computeLateEndMs(
     holder: Holder,
@@ -240,7 +252,7 @@
     const { getInherited, timing } = this.#options;
     const own = this.#holds.computeUnansweredEndMs(holder.id, range);
     const { isClean, untilMs } = getInherited();
-    // Once all earlier grants have run out, none can be carried out any more.
+    // Once all inherited grants have expired, none can take effect any more.
     const inheritedMs = Math.min(
       untilMs,
       computeHoldEndMs(releasedAtMs, timing.holdMs),
@@ -250,7 +262,9 @@
       : own;
   }
 
-  /** Whether an earlier keeper may have granted it any of these keys. */
+  /**
+   * Whether an earlier keeper may have granted the holder any of these keys.
+   */
   #isInherited(holder: Holder, range: OwnedRange): boolean {
     return this.#options.inheritedRanges.some((one) =>
       hasOverlap(one, range) &&
@@ -279,7 +293,7 @@
         : { handover: state.handover }),
     }, state.session);
     this.#recordOutcome(range.owner, outcome);
-    settleRecord(record, outcome, clock.readMs());
+    recordGrantOutcome(record, outcome, clock.readMs());
     if (outcome.kind === "done") {
       this.#recordGranted(state);
     } else {
@@ -289,9 +303,9 @@
   }
 
   #recordGranted(state: RangeState): void {
-    const isNews = !state.granted && state.range.former.length > 0;
+    const isNewOwner = !state.granted && state.range.former.length > 0;
     state.granted = true;
-    if (isNews) {
+    if (isNewOwner) {
       this.#options.onGranted(state.range);
     }
   }
@@ -316,24 +330,24 @@
   }
 
   #recordOutcome(holder: Holder, outcome: OrderOutcome): void {
-    const life = formatAssigneeKey(holder);
+    const incarnationKey = formatAssigneeKey(holder);
     const nowMs = this.#options.clock.readMs();
     switch (outcome.kind) {
       case "done":
-        this.#failureStreaks.delete(life);
+        this.#failureStreaks.delete(incarnationKey);
         return;
       case "superseded":
         this.#options.onSuperseded();
         return;
       case "replaced":
-        this.#ended.add(life);
+        this.#ended.add(incarnationKey);
         return;
       case "session-over":
         return;
       case "unsent":
       case "unanswered":
-        this.#failureStreaks.set(life, {
-          sinceMs: this.#failureStreaks.get(life)?.sinceMs ?? nowMs,
+        this.#failureStreaks.set(incarnationKey, {
+          sinceMs: this.#failureStreaks.get(incarnationKey)?.sinceMs ?? nowMs,
           lastMs: nowMs,
         });
         return;
@@ -370,44 +384,49 @@
     known.range = range;
     return known;
   }
-  const whole = before.find((state) => isWithin(range, state.range));
-  // What is left of a granted range is granted; its renewals go on in time.
-  const granted = whole?.granted === true && hasSameOwner(range, whole.range);
+  const previous = before.find((state) => isWithin(range, state.range));
+  // The rest of a granted range stays granted and keeps its renewal schedule.
+  const granted = previous?.granted === true &&
+    hasSameOwner(range, previous.range);
   return {
     range,
     granted,
     orderInFlight: false,
-    nextOrderAtMs: granted ? whole.nextOrderAtMs : -Infinity,
-    released: whole === undefined ? new Map() : listReleased(range, whole),
-    // What a former holder gave is good until an owner has taken it.
-    handover: whole?.granted === false ? whole.handover : undefined,
-    session: hasSameOwner(range, whole?.range) ? whole?.session : undefined,
+    nextOrderAtMs: granted ? previous.nextOrderAtMs : -Infinity,
+    released: previous === undefined
+      ? new Map()
+      : listReleased(range, previous),
+    // A handover stays valid until an owner has been granted the range.
+    handover: previous?.granted === false ? previous.handover : undefined,
+    session: hasSameOwner(range, previous?.range)
+      ? previous?.session
+      : undefined,
   };
 }
 
 /**
- * A holder that has given the keys up for one owner has done so for the next:
- * it refuses every older grant already. Releasing it anew would begin the wait
- * for late grants anew, 3.5 s for each owner that turned out to be lost.
+ * A holder that released the keys for one owner has also released them for the
+ * next one: it already refuses every older grant. Another release would restart
+ * the wait for late grants, 3.5 s for each owner that turned out to be lost.
  */
 function listReleased(
   range: OwnedRange,
-  whole: RangeState,
+  previous: RangeState,
 ): Map<string, number> {
   return new Map(
-    [...whole.released].filter(([id]) => {
+    [...previous.released].filter(([id]) => {
       const token = findToken(range, id);
-      return token !== undefined && token === findToken(whole.range, id);
+      return token !== undefined && token === findToken(previous.range, id);
     }),
   );
 }
 
-/** Under which token a former holder held the range. */
+/** The token under which a former holder held the range. */
 function findToken(range: OwnedRange, id: string): number | undefined {
   return range.former.find((holder) => holder.id === id)?.token;
 }
 
-function settleRecord(
+function recordGrantOutcome(
   record: GrantRecord,
   outcome: OrderOutcome,
   nowMs: number,
@@ -427,8 +446,8 @@
   }
 }
 
-function isWithin(range: OwnedRange, whole: OwnedRange): boolean {
-  return range.from >= whole.from && range.to <= whole.to;
+function isWithin(range: OwnedRange, outer: OwnedRange): boolean {
+  return range.from >= outer.from && range.to <= outer.to;
 }
 
 function hasSameOwner(
@@ -439,7 +458,7 @@
     range.owner.token === other.owner.token;
 }
 
-/** A range under one token; who held it before does not change what it is. */
+/** Identifies a range under one token, whatever its former holders. */
 function formatRange(range: OwnedRange): string {
   return `${range.from}-${range.to}:${range.owner.id}:${range.owner.token}`;
 }
