--- a/packages/ownership/src/keeper_timing.ts
+++ b/packages/ownership/src/keeper_timing.ts
@@ -70,9 +70,9 @@
 /** Limits the hold to `maxHoldMs`, the longest hold that targets accept. */
 export function resolveKeeperTiming(maxHoldMs: number): KeeperTiming {
   const holdMs = Math.min(DEFAULT_KEEPER_TIMING.holdMs, maxHoldMs);
-  const renewEveryMs = Math.min(
+  const renewIntervalMs = Math.min(
     DEFAULT_KEEPER_TIMING.renewIntervalMs,
     holdMs / 4,
   );
-  return Object.freeze({ ...DEFAULT_KEEPER_TIMING, holdMs, renewEveryMs });
+  return Object.freeze({ ...DEFAULT_KEEPER_TIMING, holdMs, renewIntervalMs });
 }
