--- a/packages/gateway/src/peers/datagram_fragments.ts
+++ b/packages/gateway/src/peers/datagram_fragments.ts
@@ -1,20 +1,29 @@
 /**
- * Values that are longer than a datagram, packed and in pieces. Ids and addresses
- * come again and again: ten moves of keys are 3 KB as they are and 1 KB packed.
+ * Compresses values that are longer than a datagram, and splits them into
+ * fragments. Ids and addresses repeat: ten moves of keys take 3 KB as JSON and
+ * 1 KB compressed.
  */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 
-/** Characters; what surrounds them takes some 150 bytes of a datagram. */
+/**
+ * In characters; the rest of the message takes about 150 bytes of the datagram.
+ */
 export const MAX_FRAGMENT_LENGTH = 1_100;
-/** Beyond this many, one of them is lost too often. */
+/**
+ * With more fragments than this, the loss of at least one becomes too frequent.
+ */
 const MAX_FRAGMENTS = 12;
-/** Far above any value that fits packed into that many. */
+/**
+ * Far above any value that fits compressed into the maximum number of
+ * fragments.
+ */
 const MAX_INFLATED_BYTES = 256 * 1024;
 
 /**
- * Undefined where it is too long. With 150 targets a plan's moves take three to
- * six; told to read instead, 58 instances read the table at once, several times
- * a second: nine tenths of 156 calls a second.
+ * Compresses a value and splits it into fragments; undefined if it is too long.
+ * With 150 targets the moves of a plan take three to six fragments. When the
+ * instances had to read the table instead, 58 of them read it at once, several
+ * times a second: nine tenths of 156 calls a second.
  */
 export function encodeValue(value: unknown): readonly Fragment[] | undefined {
   const text = deflateRawSync(JSON.stringify(value)).toString("base64");
@@ -25,24 +34,28 @@
   const pieces = texts.length;
   return pieces > MAX_FRAGMENTS
     ? undefined
-    : texts.map((one, piece) => ({ text: one, piece, pieces }));
+    : texts.map((part, piece) => ({ text: part, piece, pieces }));
 }
 
-/** Undefined where the text is none that `encodeValue` gave. */
+/**
+ * Decodes the joined text of all fragments; undefined if `encodeValue` did not
+ * produce it.
+ */
 export function decodeValue(text: string): unknown {
   try {
-    const packed = Buffer.from(text, "base64");
-    const unpacked = inflateRawSync(packed, {
+    const compressed = Buffer.from(text, "base64");
+    const inflated = inflateRawSync(compressed, {
       maxOutputLength: MAX_INFLATED_BYTES,
     });
-    return JSON.parse(unpacked.toString("utf8")) as unknown;
+    return JSON.parse(inflated.toString("utf8")) as unknown;
   } catch {
-    // Cut or foreign bytes: the caller finds what it lacks in another way.
+    // The text is truncated or was not encoded here; the caller obtains the
+    // value in another way.
     return undefined;
   }
 }
 
-/** One of the pieces of a value. */
+/** Fragment number `piece` of `pieces` of a value, counted from 0. */
 export interface Fragment {
   readonly text: string;
   readonly piece: number;
@@ -50,16 +63,22 @@
 }
 
 interface PartialValue {
-  /** Of the value: another one replaces it. */
+  /**
+   * Version of the value; fragments of another version replace those of this
+   * one.
+   */
   readonly version: number;
   readonly texts: Map<number, string>;
 }
 
-/** Puts values together from pieces that come in any order. */
+/** Joins values from fragments that arrive in any order. */
 export class FragmentAssembler {
   readonly #partialValues = new Map<string, PartialValue>();
 
-  /** The whole text, once all of a version have come; one may be lost. */
+  /**
+   * Adds a fragment. Returns the whole text once all fragments of a version
+   * have arrived; a lost fragment leaves the version incomplete.
+   */
   add(
     name: string,
     version: number,
@@ -69,18 +88,18 @@
       return text;
     }
     const known = this.#partialValues.get(name);
-    const gathered = known?.version === version
+    const partial = known?.version === version
       ? known
       : { version, texts: new Map<number, string>() };
-    this.#partialValues.set(name, gathered);
-    gathered.texts.set(piece, text);
-    if (gathered.texts.size < pieces) {
+    this.#partialValues.set(name, partial);
+    partial.texts.set(piece, text);
+    if (partial.texts.size < pieces) {
       return undefined;
     }
     this.#partialValues.delete(name);
-    return [...gathered.texts]
+    return [...partial.texts]
       .sort(([left], [right]) => left - right)
-      .map(([, one]) => one)
+      .map(([, part]) => part)
       .join("");
   }
 }
--- a/packages/gateway/src/peers/load_counts.ts
+++ b/packages/gateway/src/peers/load_counts.ts
@@ -1,18 +1,26 @@
-/** How many requests instances have at each target and have waiting. */
+/**
+ * Counts of the requests that instances have running at each target and
+ * waiting.
+ */
 
-/** Numbers by target; absent means none. */
+/** Counts by target; an absent target counts as 0. */
 export type TargetCounts = Readonly<Record<string, number>>;
 
-/** Waiting requests by service, the target that they wait for, and rank. */
+/**
+ * Counts of waiting requests by service, by the target that they wait for, and
+ * by rank.
+ */
 export type WaitingCounts = Readonly<
   Record<string, Readonly<Record<string, readonly number[]>>>
 >;
 
-/** What one instance, or several together, have at each target and waiting. */
+/**
+ * Counts of the running and the waiting requests of one instance or of several.
+ */
 export interface LoadCounts {
   readonly running: TargetCounts;
   readonly waiting: WaitingCounts;
-  /** How many instances these are counts of. */
+  /** Number of instances that the counts cover. */
   readonly instances: number;
 }
 
@@ -22,7 +30,7 @@
   instances: 0,
 });
 
-/** A sum while counts are added to it. */
+/** Counts to which other counts are added in place. */
 interface MutableCounts {
   readonly running: Record<string, number>;
   readonly waiting: Record<string, Record<string, readonly number[]>>;
@@ -30,8 +38,9 @@
 }
 
 /**
- * What all of them have together. An instance that gathers does this several
- * times a second for dozens of others, so one sum is added to, not copied.
+ * Adds up the counts of several instances. The aggregator of a data centre does
+ * this several times a second for dozens of instances, so it adds in place
+ * instead of copying the sum.
  */
 export function mergeCounts(all: readonly LoadCounts[]): LoadCounts {
   const sum = createMutableCounts(NO_LOAD);
@@ -41,19 +50,19 @@
   return sum;
 }
 
-/** What is left of a sum without one of its parts. */
+/** Subtracts a part of a sum from the sum. */
 export function removeCounts(sum: LoadCounts, part: LoadCounts): LoadCounts {
-  const left = createMutableCounts(sum);
-  addCounts(left, part, -1);
-  return left;
+  const rest = createMutableCounts(sum);
+  addCounts(rest, part, -1);
+  return rest;
 }
 
-/** A sum of its own that begins with some counts. */
+/** Copies counts, so that other counts can be added to the copy. */
 function createMutableCounts(
   { running, waiting, instances }: LoadCounts,
 ): MutableCounts {
   const services = Object.entries(waiting)
-    .map(([service, lanes]) => [service, { ...lanes }] as const);
+    .map(([service, byTarget]) => [service, { ...byTarget }] as const);
   return {
     running: { ...running },
     waiting: Object.fromEntries(services),
@@ -69,10 +78,10 @@
       delete running[id];
     }
   }
-  for (const [service, lanes] of Object.entries(counts.waiting)) {
+  for (const [service, byTarget] of Object.entries(counts.waiting)) {
     const known = waiting[service] ??= {};
-    for (const [lane, ranks] of Object.entries(lanes)) {
-      known[lane] = addRanks(known[lane] ?? [], ranks, sign);
+    for (const [target, ranks] of Object.entries(byTarget)) {
+      known[target] = addRanks(known[target] ?? [], ranks, sign);
     }
   }
   sum.instances = Math.max(0, sum.instances + sign * counts.instances);
--- a/packages/gateway/src/peers/load_exchange.ts
+++ b/packages/gateway/src/peers/load_exchange.ts
@@ -1,19 +1,20 @@
 /**
- * Tells the other instances how many requests this one has at each target and
- * has waiting, and hears the same of them.
+ * Sends the other instances the counts of the requests that this one has
+ * running at each target and waiting, and receives their counts.
  *
- * Where there are few, each tells each: within a data centre at once, since its
- * targets are shared by the instances there; across, a few times a second, since
- * bytes there have a price.
+ * A few instances send to each other directly: immediately within a data
+ * centre, whose instances share its targets, and a few times a second to other
+ * data centres, because traffic between data centres has a cost.
  *
- * Load pattern: 60 to 200 instances. Told by each to each, 200 of them heard of
- * each other every 3 s, when most requests were over, and still spent half of
- * their processor time on it: 260 datagrams a second and instance. So one in
- * each data centre gathers what the others there have and tells the sum: 21
- * datagrams a second sent by each, and all are known everywhere within 0.6 s.
+ * Load pattern: 60 to 200 instances. When 200 instances sent to each other
+ * directly, each received the counts of another every 3 s, when most of the
+ * counted requests were over, and still spent half of its processor time on 260
+ * datagrams a second. So one instance in each data centre aggregates the counts
+ * of the other instances there and sends the aggregate. Each instance then
+ * sends 21 datagrams a second, and counts reach all instances within 0.6 s.
  *
- * All of it is a hint. A lost datagram makes a choice worse for some moments;
- * counts of instances that have fallen silent fade.
+ * The counts are only hints. A lost datagram makes decisions worse for a
+ * moment, and counts of instances that no longer send decay.
  */
 import { sleepUntilTick } from "@lentilspur/ports/tick";
 import {
@@ -33,43 +34,59 @@
 import type { PeerOptions } from "./peer_options.ts";
 
 type LoadMessage = PeerMessage & { readonly kind: "load" };
-type GatheredMessage = PeerMessage & { readonly kind: "gathered-load" };
+type AggregateMessage = PeerMessage & { readonly kind: "gathered-load" };
 
 export interface LoadExchangeOptions extends PeerOptions {
   readonly members: Members;
   readonly readCounts: () => LoadCounts;
-  /** Takes over what an instance, or those of a data centre, have. */
+  /**
+   * Applies the counts of another instance, or the aggregate of a data centre.
+   */
   readonly applyCounts: (peer: string, counts: LoadCounts) => void;
   readonly describeStatus: () => PeerStatus;
 }
 
-/** Beyond this many each instance would tell the others seldomer than each 250 ms. */
+/**
+ * With more instances than this, direct messages would be more than 250 ms
+ * apart.
+ */
 const MAX_DIRECT_INSTANCES = 24;
 /**
- * How often counts go out: changes of this long together. The more instances
- * there are, the seldomer, since each tells each. With a dozen the least times
- * hold.
+ * Minimum time between two messages; changes within it go out together. The
+ * time grows with the number of instances, since each sends to each. Up to a
+ * dozen instances the minimum applies.
  */
 interface SendInterval {
   readonly minMs: number;
   readonly perInstanceMs: number;
 }
-/** In the data centre; requests take 40 ms and more. */
+/** Within a data centre; requests take 40 ms and more. */
 const LOCAL_INTERVAL: SendInterval = { minMs: 40, perInstanceMs: 12 };
-/** Bytes across have a price; requests there take about this long in all. */
+/**
+ * To other data centres. Traffic there has a cost, and requests there take
+ * about this long in total.
+ */
 const REMOTE_INTERVAL: SendInterval = { minMs: 250, perInstanceMs: 22 };
-/** Without a change, often enough for a receiver to take counts for current. */
+/**
+ * Without a change, often enough for a receiver to treat the counts as current.
+ */
 const REPEAT_INTERVAL: SendInterval = { minMs: 400, perInstanceMs: 16 };
-/** To the instance that gathers, which tells sums about as often. */
+/** To the aggregator, which sends aggregates about as often. */
 const AGGREGATOR_INTERVAL_MS = 100;
-/** Sums within the data centre, and to those that pass them on in the others. */
+/**
+ * Aggregates within the data centre, and to the local readers of the other data
+ * centres, which forward them.
+ */
 const LOCAL_AGGREGATE_INTERVAL_MS = 150;
 const REMOTE_AGGREGATE_INTERVAL_MS = 300;
-/** What an instance told longer ago than this is left out of the sum. */
+/**
+ * Counts that an instance reported longer ago than this are left out of the
+ * aggregate.
+ */
 const REPORT_TTL_MS = 1_500;
-/** Between two looks; each wake-up costs about 0.1 ms. */
+/** Time between two checks; each wake-up costs about 0.1 ms. */
 const TICK_MS = 40;
-/** The same at an instance that only tells the one that gathers. */
+/** The same at an instance that sends only to the aggregator. */
 const AGGREGATED_TICK_MS = 100;
 
 interface ReportedCounts {
@@ -77,7 +94,7 @@
   readonly atMs: number;
 }
 
-/** What went out last, as text, and when. */
+/** Text and time of the last message. */
 interface SentMessage {
   readonly text: string;
   readonly atMs: number;
@@ -87,10 +104,13 @@
 
 export class LoadExchange {
   readonly #options: LoadExchangeOptions;
-  readonly #joiner = new FragmentAssembler();
-  /** By instance of this data centre: what this one gathers. */
+  readonly #assembler = new FragmentAssembler();
+  /** By instance of this data centre: the last counts that it reported. */
   readonly #reported = new Map<string, ReportedCounts>();
-  /** What this instance has told last, which is part of the sum that it hears. */
+  /**
+   * The last counts that this instance reported, which the aggregate of its
+   * data centre includes.
+   */
   #lastReported = NO_LOAD;
   #lastLocal = NEVER_SENT;
   #lastRemote = NEVER_SENT;
@@ -111,34 +131,34 @@
     }
   }
 
-  /** Whether this instance tells only the one that gathers. */
+  /** Whether this instance sends its counts only to the aggregator. */
   #isAggregated(): boolean {
     const { members, duties } = this.#options;
     return members.instanceCount > MAX_DIRECT_INSTANCES &&
       !duties.isLocalReader();
   }
 
-  /** What an instance tells of itself. */
+  /** Applies the counts of another instance. */
   applyLoad({ from, counts }: LoadMessage): void {
     const { clock, applyCounts } = this.#options;
     this.#reported.set(from, { counts, atMs: clock.readMs() });
     applyCounts(from, counts);
   }
 
-  /** What the instances of a data centre have together. */
-  applyAggregate(message: GatheredMessage): void {
+  /** Applies the aggregate of a data centre. */
+  applyAggregate(message: AggregateMessage): void {
     const { dataCentre, duties, send, applyCounts } = this.#options;
     const { from, dataCentre: origin, number } = message;
     send(duties.listForwardReceivers(origin), message);
-    const text = this.#joiner.add(from, number, message);
+    const text = this.#assembler.add(from, number, message);
     const counts = text === undefined ? undefined : toCounts(decodeValue(text));
     if (counts === undefined) {
       return;
     }
-    const others = origin === dataCentre
+    const peerCounts = origin === dataCentre
       ? removeCounts(counts, this.#lastReported)
       : counts;
-    applyCounts(formatAggregateName(origin), others);
+    applyCounts(formatAggregateName(origin), peerCounts);
   }
 
   #advance(): void {
@@ -154,13 +174,19 @@
   #sendDirectly(): void {
     const { clock, duties, send } = this.#options;
     const nowMs = clock.readMs();
-    const near = duties.listLocal();
-    const far = duties.listRemote();
-    const nearMs = computeIntervalMs(LOCAL_INTERVAL, near.length);
-    const farMs = computeIntervalMs(REMOTE_INTERVAL, far.length);
+    const localPeers = duties.listLocal();
+    const remotePeers = duties.listRemote();
+    const localIntervalMs = computeIntervalMs(
+      LOCAL_INTERVAL,
+      localPeers.length,
+    );
+    const remoteIntervalMs = computeIntervalMs(
+      REMOTE_INTERVAL,
+      remotePeers.length,
+    );
     if (
-      nowMs - this.#lastLocal.atMs < nearMs &&
-      nowMs - this.#lastRemote.atMs < farMs
+      nowMs - this.#lastLocal.atMs < localIntervalMs &&
+      nowMs - this.#lastRemote.atMs < remoteIntervalMs
     ) {
       return;
     }
@@ -168,14 +194,28 @@
     const text = JSON.stringify(message);
     const repeatMs = computeIntervalMs(
       REPEAT_INTERVAL,
-      near.length + far.length,
+      localPeers.length + remotePeers.length,
     );
-    if (isDue(this.#lastLocal, { text, gapMs: nearMs, repeatMs, nowMs })) {
-      send(near, message);
+    if (
+      isDue(this.#lastLocal, {
+        text,
+        intervalMs: localIntervalMs,
+        repeatMs,
+        nowMs,
+      })
+    ) {
+      send(localPeers, message);
       this.#lastLocal = { text, atMs: nowMs };
     }
-    if (isDue(this.#lastRemote, { text, gapMs: farMs, repeatMs, nowMs })) {
-      send(far, message);
+    if (
+      isDue(this.#lastRemote, {
+        text,
+        intervalMs: remoteIntervalMs,
+        repeatMs,
+        nowMs,
+      })
+    ) {
+      send(remotePeers, message);
       this.#lastRemote = { text, atMs: nowMs };
     }
   }
@@ -183,9 +223,9 @@
   #sendToAggregator(): void {
     const { clock, duties, send } = this.#options;
     const nowMs = clock.readMs();
-    const gatherer = duties.findLocalReader();
+    const aggregator = duties.findLocalReader();
     if (
-      gatherer === undefined ||
+      aggregator === undefined ||
       nowMs - this.#lastLocal.atMs < AGGREGATOR_INTERVAL_MS
     ) {
       return;
@@ -196,13 +236,13 @@
     if (
       isDue(this.#lastLocal, {
         text,
-        gapMs: AGGREGATOR_INTERVAL_MS,
+        intervalMs: AGGREGATOR_INTERVAL_MS,
         repeatMs,
         nowMs,
       })
     ) {
       this.#lastReported = message.counts;
-      send([gatherer], message);
+      send([aggregator], message);
       this.#lastLocal = { text, atMs: nowMs };
     }
   }
@@ -210,19 +250,21 @@
   #sendAggregates(): void {
     const { clock, duties } = this.#options;
     const nowMs = clock.readMs();
-    const toNear = nowMs - this.#lastLocal.atMs >= LOCAL_AGGREGATE_INTERVAL_MS;
-    const toFar = nowMs - this.#lastRemote.atMs >= REMOTE_AGGREGATE_INTERVAL_MS;
-    if (!toNear && !toFar) {
+    const isLocalDue =
+      nowMs - this.#lastLocal.atMs >= LOCAL_AGGREGATE_INTERVAL_MS;
+    const isRemoteDue =
+      nowMs - this.#lastRemote.atMs >= REMOTE_AGGREGATE_INTERVAL_MS;
+    if (!isLocalDue && !isRemoteDue) {
       return;
     }
-    const pieces = encodeValue(this.#computeAggregate(nowMs)) ?? [];
+    const fragments = encodeValue(this.#computeAggregate(nowMs)) ?? [];
     this.#aggregateNumber++;
-    if (toNear) {
-      this.#sendFragments(duties.listLocal(), pieces);
+    if (isLocalDue) {
+      this.#sendFragments(duties.listLocal(), fragments);
       this.#lastLocal = { text: "", atMs: nowMs };
     }
-    if (toFar) {
-      this.#sendFragments(duties.listRemoteReaders(), pieces);
+    if (isRemoteDue) {
+      this.#sendFragments(duties.listRemoteReaders(), fragments);
       this.#lastRemote = { text: "", atMs: nowMs };
     }
   }
@@ -239,22 +281,27 @@
     return mergeCounts(all);
   }
 
-  #sendFragments(to: readonly Member[], pieces: readonly Fragment[]): void {
+  #sendFragments(to: readonly Member[], fragments: readonly Fragment[]): void {
     const { instance: from, dataCentre, send } = this.#options;
     const number = this.#aggregateNumber;
-    for (const piece of pieces) {
-      send(to, { kind: "gathered-load", from, dataCentre, number, ...piece });
+    for (const fragment of fragments) {
+      send(to, {
+        kind: "gathered-load",
+        from,
+        dataCentre,
+        number,
+        ...fragment,
+      });
     }
   }
 
   #createMessage(): LoadMessage {
-    const { instance: from, describeStatus: describeStanding, readCounts } =
-      this.#options;
-    return { kind: "load", from, ...describeStanding(), counts: readCounts() };
+    const { instance: from, describeStatus, readCounts } = this.#options;
+    return { kind: "load", from, ...describeStatus(), counts: readCounts() };
   }
 }
 
-/** No instance has such a name. */
+/** Key of a data centre's aggregate; no instance has such a name. */
 function formatAggregateName(dataCentre: string): string {
   return `all of ${dataCentre}`;
 }
@@ -268,19 +315,19 @@
 }
 
 function computeIntervalMs(
-  { minMs: leastMs, perInstanceMs }: SendInterval,
+  { minMs, perInstanceMs }: SendInterval,
   count: number,
 ): number {
-  return Math.max(leastMs, perInstanceMs * count);
+  return Math.max(minMs, perInstanceMs * count);
 }
 
 function isDue(last: SentMessage, now: {
   readonly text: string;
-  readonly gapMs: number;
+  readonly intervalMs: number;
   readonly repeatMs: number;
   readonly nowMs: number;
 }): boolean {
   const ageMs = now.nowMs - last.atMs;
   return ageMs >= now.repeatMs ||
-    (ageMs >= now.gapMs && now.text !== last.text);
+    (ageMs >= now.intervalMs && now.text !== last.text);
 }
--- a/packages/gateway/src/peers/load_exchange_test.ts
+++ b/packages/gateway/src/peers/load_exchange_test.ts
@@ -8,19 +8,19 @@
 import type { Member, Members } from "../members/members.ts";
 import type { PeerMessage } from "./peer_message.ts";
 
-const STANDING = { configurationEnd: 1, hasLostStore: false, ends: [] };
-/** As long as a target's id is. */
+const STATUS = { configurationEnd: 1, hasLostStore: false, ends: [] };
+/** Ids as long as those of real targets. */
 const TARGETS = Array.from(
   { length: 300 },
   (_, index) => `i-${(index * 7_919_777).toString(16).padStart(10, "0")}`,
 );
-const MAX_DATAGRAM = 1_400;
+const MAX_DATAGRAM_BYTES = 1_400;
 
-/** Instances that tell each other what they have; every datagram arrives. */
-class Fleet {
+/** Simulates instances that exchange their counts; every datagram arrives. */
+class FleetSimulation {
   readonly clock = new VirtualClock();
   readonly running = new Map<string, Record<string, number>>();
-  /** By instance, then by whom it was told of, then by target. */
+  /** By receiving instance, then by the source of the counts. */
   readonly known = new Map<string, Map<string, LoadCounts>>();
   readonly silent = new Set<string>();
   readonly #duties = new Map<string, Duties>();
@@ -52,7 +52,7 @@
         }),
         applyCounts: (peer, counts) =>
           this.known.get(self.instance)!.set(peer, counts),
-        describeStatus: () => STANDING,
+        describeStatus: () => STATUS,
         send: (to, message) =>
           this.#send(self.instance, to, message, exchanges),
       });
@@ -71,7 +71,9 @@
     return found;
   }
 
-  /** Requests that all others have at a target, as an instance knows. */
+  /**
+   * Counts the requests of all others at a target, according to an instance.
+   */
   countOthers(instance: string, target: string): number {
     return [...this.known.get(instance)!.values()]
       .reduce((sum, { running }) => sum + (running[target] ?? 0), 0);
@@ -97,7 +99,7 @@
     message: PeerMessage,
     exchanges: ReadonlyMap<string, LoadExchange>,
   ): void {
-    assert.ok(JSON.stringify(message).length <= MAX_DATAGRAM);
+    assert.ok(JSON.stringify(message).length <= MAX_DATAGRAM_BYTES);
     for (const { instance } of to.filter(() => !this.silent.has(from))) {
       this.datagrams++;
       const exchange = exchanges.get(instance)!;
@@ -110,49 +112,50 @@
   }
 }
 
-test("each of 200 instances knows what all others have at a target", async () => {
-  // Told by each to each, an instance heard of most others every 3 s, when their
-  // requests were over, sent and read 260 datagrams a second, and gave targets
-  // more than they can queue. Gathered in each data centre: 21 are sent a second
-  // and instance, and what is known is half a second old.
-  const fleet = new Fleet(200);
-  for (const [index, name] of [...fleet.known.keys()].entries()) {
+test("each of 200 instances knows the counts of all others at a target", async () => {
+  // When all sent to all, counts came every 3 s, too late, at 260 datagrams a
+  // second per instance, and targets got more requests than they can queue.
+  // With aggregation, 21 are sent a second, and counts are half a second old.
+  const simulation = new FleetSimulation(200);
+  for (const [index, name] of [...simulation.known.keys()].entries()) {
     const first = TARGETS[index]!;
-    fleet.running.set(name, { [first]: 1, [TARGETS[0]!]: 2 });
+    simulation.running.set(name, { [first]: 1, [TARGETS[0]!]: 2 });
   }
-  await fleet.clock.advance(600);
-  for (const name of ["bole-7", "arada-30", fleet.findLocalReader("yeka")]) {
-    assert.equal(fleet.countOthers(name, TARGETS[0]!), 2 * 199, name);
-    assert.equal(fleet.countOthers(name, TARGETS[77]!), 1, name);
+  await simulation.clock.advance(600);
+  for (
+    const name of ["bole-7", "arada-30", simulation.findLocalReader("yeka")]
+  ) {
+    assert.equal(simulation.countOthers(name, TARGETS[0]!), 2 * 199, name);
+    assert.equal(simulation.countOthers(name, TARGETS[77]!), 1, name);
   }
-  fleet.running.forEach((_, name) => fleet.running.set(name, {}));
-  await fleet.clock.advance(600);
-  assert.equal(fleet.countOthers("bole-7", TARGETS[0]!), 0);
-  const before = fleet.datagrams;
-  await fleet.clock.advance(5_000);
-  const perSecond = (fleet.datagrams - before) / 5 / 200;
-  assert.ok(perSecond < 30, `${perSecond} a second and instance`);
+  simulation.running.forEach((_, name) => simulation.running.set(name, {}));
+  await simulation.clock.advance(600);
+  assert.equal(simulation.countOthers("bole-7", TARGETS[0]!), 0);
+  const before = simulation.datagrams;
+  await simulation.clock.advance(5_000);
+  const perSecond = (simulation.datagrams - before) / 5 / 200;
+  assert.ok(perSecond < 30, `${perSecond} datagrams a second and instance`);
 });
 
-test("a lost gatherer is replaced within two seconds", async () => {
-  const fleet = new Fleet(60);
-  await fleet.clock.advance(1_000);
-  const lost = fleet.findLocalReader("kirkos");
-  fleet.silent.add(lost);
+test("a lost aggregator is replaced within 2 s", async () => {
+  const simulation = new FleetSimulation(60);
+  await simulation.clock.advance(1_000);
+  const lost = simulation.findLocalReader("kirkos");
+  simulation.silent.add(lost);
   const target = TARGETS[5]!;
-  const other = [...fleet.known.keys()]
+  const other = [...simulation.known.keys()]
     .find((name) => name.startsWith("kirkos") && name !== lost)!;
-  await fleet.clock.advance(2_000);
-  fleet.running.set(other, { [target]: 3 });
-  await fleet.clock.advance(600);
-  assert.equal(fleet.countOthers("yeka-9", target), 3);
+  await simulation.clock.advance(2_000);
+  simulation.running.set(other, { [target]: 3 });
+  await simulation.clock.advance(600);
+  assert.equal(simulation.countOthers("yeka-9", target), 3);
 });
 
-test("a dozen instances tell each other directly", async () => {
-  const fleet = new Fleet(12);
-  fleet.running.set("bole-0", { [TARGETS[3]!]: 4 });
-  await fleet.clock.advance(100);
-  assert.equal(fleet.countOthers("bole-1", TARGETS[3]!), 4);
-  await fleet.clock.advance(300);
-  assert.equal(fleet.countOthers("yeka-1", TARGETS[3]!), 4);
+test("a dozen instances send to each other directly", async () => {
+  const simulation = new FleetSimulation(12);
+  simulation.running.set("bole-0", { [TARGETS[3]!]: 4 });
+  await simulation.clock.advance(100);
+  assert.equal(simulation.countOthers("bole-1", TARGETS[3]!), 4);
+  await simulation.clock.advance(300);
+  assert.equal(simulation.countOthers("yeka-1", TARGETS[3]!), 4);
 });
--- a/packages/gateway/src/peers/peer_dispatcher.ts
+++ b/packages/gateway/src/peers/peer_dispatcher.ts
@@ -1,4 +1,6 @@
-/** Hands what another instance has told to the part of this one that it is for. */
+/**
+ * Dispatches messages from other instances to the components that handle them.
+ */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { AccountDemands } from "../entry/account_demands.ts";
 import type { Duties } from "../members/duties.ts";
@@ -103,22 +105,22 @@
     }
   }
 
-  #applyStatus(from: string, standing: PeerStatus): void {
+  #applyStatus(from: string, status: PeerStatus): void {
     const { clock, members, views } = this.#options;
-    members.recordStoreStatus(from, standing.hasLostStore, clock.readMs());
+    members.recordStoreStatus(from, status.hasLostStore, clock.readMs());
     if (members.get(from) === undefined) {
       views.scheduleMembersRead();
     }
     views.applyConfigurationEnd(
-      standing.configurationEnd,
+      status.configurationEnd,
       this.#isFollowingConfiguration(from),
     );
-    for (const [part, end] of standing.ends) {
+    for (const [part, end] of status.ends) {
       views.applyOwnersEnd(part, end, from);
     }
   }
 
-  /** Whether an instance reads each change of the configuration at once. */
+  /** Whether the sender reads each change of the configuration at once. */
   #isFollowingConfiguration(instance: string): boolean {
     const { duties, members } = this.#options;
     return duties.hasCandidate(instance) && !members.hasLostStore(instance);
@@ -127,7 +129,7 @@
   #applyMember({ from, record, offset }: MemberMessage): void {
     const { clock, members, reportFault } = this.#options;
     if (!members.apply(from, record, { offset, nowMs: clock.readMs() })) {
-      reportFault(`Unreadable word of member "${from}"`);
+      reportFault(`Cannot decode the record that member "${from}" sent`);
     }
   }
 }
--- a/packages/gateway/src/peers/peer_message.ts
+++ b/packages/gateway/src/peers/peer_message.ts
@@ -1,4 +1,7 @@
-/** What instances tell each other in datagrams. All of it is a hint. */
+/**
+ * The messages that instances send each other in datagrams. All of them are
+ * only hints.
+ */
 import type { InstanceDemand } from "@lentilspur/routing/account_limiter";
 import type { PermitDecision } from "@lentilspur/routing/request_pacer";
 import type { SuspectReport } from "@lentilspur/routing/crash_suspects";
@@ -8,16 +11,19 @@
 import type { LimitReport } from "../requests/limit_report.ts";
 import type { RecordBatch } from "../views/partition_view.ts";
 
-/** First and last key, and the token under which they were granted. */
+/** First and last key of a range, and the token under which it was granted. */
 export type GrantedKeys = readonly [from: number, to: number, token: number];
 
-/** What an instance says of itself again and again. */
+/** Status that an instance sends with each load message and heartbeat. */
 export interface PeerStatus {
-  /** Up to where it has read the configuration's partition. */
+  /** Offset up to which the sender has read the configuration partition. */
   readonly configurationEnd: number;
-  /** The store does not answer it. */
+  /** Whether the sender's reads of the store fail at present. */
   readonly hasLostStore: boolean;
-  /** Partitions of owners that it keeps, and up to where others must know them. */
+  /**
+   * Partitions of the ownership table kept by the sender, and the offsets up to
+   * which its peers have to know them.
+   */
   readonly ends: readonly (readonly [part: number, end: number])[];
 }
 
@@ -29,17 +35,19 @@
     readonly counts: LoadCounts;
   } & PeerStatus)
   | ({
-    /** What all instances of a data centre have together, packed. */
+    /**
+     * Aggregate of the counts of all instances of a data centre, compressed.
+     */
     readonly kind: "gathered-load";
     readonly from: string;
     readonly dataCentre: string;
-    /** Which sum of the sender's it is. */
+    /** Number of the sender's aggregate. */
     readonly number: number;
   } & Fragment)
-  /** That the sender is there. */
+  /** Heartbeat. */
   | ({ readonly kind: "alive"; readonly from: string } & PeerStatus)
   | {
-    /** The sender's own record, as it has just written it. */
+    /** The sender's own member record, as it has just written it. */
     readonly kind: "member";
     readonly from: string;
     readonly offset: number;
@@ -50,51 +58,66 @@
     readonly from: string;
     readonly service: string;
     readonly keys: readonly number[];
-    /** Work of one request at each target, in milliseconds, as measured. */
+    /** Measured work of one request at each target, in milliseconds. */
     readonly serviceMs: Readonly<Record<string, number>>;
   }
   | ({
-    /** What a read of the targets' entries gave. */
+    /** Targets' entries that the sender has read. */
     readonly kind: "targets";
     readonly from: string;
   } & RecordBatch)
   | ({
-    /** What a read of the configuration's partition gave, packed. */
+    /**
+     * Records of the configuration partition that the sender has read,
+     * compressed.
+     */
     readonly kind: "configuration";
     readonly from: string;
-    /** Up to where it goes. */
+    /** Offset after the last record. */
     readonly end: number;
   } & Fragment)
   | ({
     /**
-     * A table of owners that a keeper has written: what differs from the table
-     * before, packed. Without any text it has to be read.
+     * An ownership table that a keeper has written, as the compressed
+     * difference to the previous table. If the text is empty, the receiver
+     * fetches the table or reads the store.
      */
     readonly kind: "owners";
     readonly from: string;
     readonly part: number;
     readonly offset: number;
-    /** Whoever knows the partition up to here knows the table before. */
+    /**
+     * A receiver that knows the partition up to this offset has the previous
+     * table.
+     */
     readonly since: number;
     readonly service: string;
   } & Fragment)
   | {
-    /** Asks the keeper of a partition of owners for its tables. */
+    /**
+     * Requests the tables of a partition of the ownership table from its
+     * keeper.
+     */
     readonly kind: "table-request";
     readonly from: string;
     readonly part: number;
   }
   | ({
-    /** A whole table of owners, packed, for whoever has asked for it. */
+    /** A whole ownership table, compressed, in response to a request. */
     readonly kind: "table";
     readonly from: string;
     readonly part: number;
-    /** Of its record, or of a later one that changes nothing of it. */
+    /**
+     * Offset of the table's record, or of a later record that does not change
+     * the table.
+     */
     readonly offset: number;
     readonly service: string;
   } & Fragment)
   | {
-    /** Ranges that have reached their new owners; a record says so later. */
+    /**
+     * Ranges that have reached their new owners; a record confirms this later.
+     */
     readonly kind: "granted";
     readonly from: string;
     readonly service: string;
@@ -103,42 +126,48 @@
   | {
     readonly kind: "demand";
     readonly from: string;
-    /** What it sees of client accounts, the busiest of them. */
+    /** The demand that the sender sees from its busiest client accounts. */
     readonly demands: readonly InstanceDemand[];
   }
   | {
-    /** Requests under which targets have crashed. */
+    /** Requests during which targets have crashed. */
     readonly kind: "suspects";
     readonly from: string;
-    /** Of the instance that tells of them. */
+    /** Data centre of the sender. */
     readonly dataCentre: string;
     readonly reports: readonly SuspectReport[];
   }
   | {
-    /** Limits that targets name, or name no more. */
+    /** Rate limits that targets have announced or withdrawn. */
     readonly kind: "limits";
     readonly from: string;
-    /** Of the instance that tells of them. */
+    /** Data centre of the sender. */
     readonly dataCentre: string;
     readonly limits: readonly LimitReport[];
   }
   | {
-    /** Asks whoever gives out the turns of a target for one. */
+    /** Requests a permit for a target from the target's coordinator. */
     readonly kind: "quota-request";
     readonly from: string;
     readonly number: number;
-    /** Of `formatLife`. */
+    /** Formatted by `formatTargetIncarnation`. */
     readonly life: string;
-    /** What the target has named, as far as the sender knows. */
+    /** The limit that the target has announced, as far as the sender knows. */
     readonly limit: LimitReport | null;
-    /** Requests a second that it takes while it is cold; null where it is not. */
+    /**
+     * Requests per second that the target accepts while cold; null if it is not
+     * cold.
+     */
     readonly coldPerSecond: number | null;
     readonly maxWaitMs: number;
-    /** Of the limit: less where the one that is asked stands in for another. */
+    /**
+     * Share of the limit that applies; reduced if the receiver stands in for
+     * another instance.
+     */
     readonly share: number;
   }
   | {
-    /** The answer to the request of this number. */
+    /** Response to the quota request with this number. */
     readonly kind: "quota";
     readonly from: string;
     readonly number: number;
--- a/packages/gateway/src/peers/peer_message_check.ts
+++ b/packages/gateway/src/peers/peer_message_check.ts
@@ -1,4 +1,7 @@
-/** Whether what came in a datagram is one of the messages, whole and of its types. */
+/**
+ * Checks that a decoded datagram is a complete message with fields of the right
+ * types.
+ */
 import type { PermitDecision } from "@lentilspur/routing/request_pacer";
 import type { SuspectReport } from "@lentilspur/routing/crash_suspects";
 import type { Fragment } from "./datagram_fragments.ts";
--- a/packages/gateway/src/peers/peer_message_check_test.ts
+++ b/packages/gateway/src/peers/peer_message_check_test.ts
@@ -4,7 +4,7 @@
 import { isPeerMessage } from "./peer_message_check.ts";
 
 const LIMIT = { life: "t1 5", perSecond: 2.4, ageMs: 10 };
-const ASKED = {
+const QUOTA_REQUEST = {
   kind: "quota-request",
   from: "bole-1",
   number: 1,
@@ -22,20 +22,20 @@
 };
 const FROM = { from: "bole-1", dataCentre: "bole" };
 
-function isTaken(message: unknown): boolean {
+function isAccepted(message: unknown): boolean {
   return isPeerMessage(message as PeerMessage | null);
 }
 
-test("whole messages of shared bounds are taken", () => {
-  assert.ok(isTaken({ kind: "suspects", ...FROM, reports: [SUSPECT] }));
-  assert.ok(isTaken({ kind: "limits", ...FROM, limits: [LIMIT] }));
-  assert.ok(isTaken({ ...ASKED, limit: LIMIT }));
-  assert.ok(isTaken({ ...ASKED, coldPerSecond: 5.3 }));
+test("complete messages about shared limits are accepted", () => {
+  assert.ok(isAccepted({ kind: "suspects", ...FROM, reports: [SUSPECT] }));
+  assert.ok(isAccepted({ kind: "limits", ...FROM, limits: [LIMIT] }));
+  assert.ok(isAccepted({ ...QUOTA_REQUEST, limit: LIMIT }));
+  assert.ok(isAccepted({ ...QUOTA_REQUEST, coldPerSecond: 5.3 }));
   const decision = { kind: "refused", retryAfterMs: 40 };
-  assert.ok(isTaken({ kind: "quota", from: "bole-1", number: 1, decision }));
+  assert.ok(isAccepted({ kind: "quota", from: "bole-1", number: 1, decision }));
 });
 
-test("messages with fields that are missing or of another type are left out", () => {
+test("messages with missing fields or fields of a wrong type are rejected", () => {
   const reports = [
     null,
     { ...SUSPECT, fingerprint: "" },
@@ -44,17 +44,17 @@
     { ...SUSPECT, clearedAgeMs: "1" },
   ];
   for (const report of reports) {
-    assert.ok(!isTaken({ kind: "suspects", ...FROM, reports: [report] }));
+    assert.ok(!isAccepted({ kind: "suspects", ...FROM, reports: [report] }));
   }
   const limits = [null, { ...LIMIT, perSecond: "2" }, { ...LIMIT, life: 7 }];
   for (const limit of limits) {
-    assert.ok(!isTaken({ kind: "limits", ...FROM, limits: [limit] }));
+    assert.ok(!isAccepted({ kind: "limits", ...FROM, limits: [limit] }));
   }
-  assert.ok(!isTaken({ ...ASKED, limit: { ...LIMIT, life: 7 } }));
-  assert.ok(!isTaken({ ...ASKED, coldPerSecond: "5.3" }));
-  assert.ok(!isTaken({ ...ASKED, life: undefined }));
+  assert.ok(!isAccepted({ ...QUOTA_REQUEST, limit: { ...LIMIT, life: 7 } }));
+  assert.ok(!isAccepted({ ...QUOTA_REQUEST, coldPerSecond: "5.3" }));
+  assert.ok(!isAccepted({ ...QUOTA_REQUEST, life: undefined }));
   for (const decision of [null, {}, { kind: "granted" }, { kind: "later" }]) {
     const message = { kind: "quota", from: "bole-1", number: 1, decision };
-    assert.ok(!isTaken(message));
+    assert.ok(!isAccepted(message));
   }
 });
--- a/packages/gateway/src/peers/peer_options.ts
+++ b/packages/gateway/src/peers/peer_options.ts
@@ -1,4 +1,7 @@
-/** What a part needs that decides or tells something together with other instances. */
+/**
+ * Options shared by the components that decide or exchange something together
+ * with other instances.
+ */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Duties } from "../members/duties.ts";
 import type { Member } from "../members/members.ts";
@@ -6,7 +9,7 @@
 
 export interface PeerOptions {
   readonly clock: Clock;
-  /** Its own name, and where it stands. */
+  /** Name and data centre of this instance. */
   readonly instance: string;
   readonly dataCentre: string;
   readonly duties: Duties;
--- a/packages/gateway/src/peers/peer_transport.ts
+++ b/packages/gateway/src/peers/peer_transport.ts
@@ -1,6 +1,6 @@
 /**
- * Sends and takes the datagrams of this instance, and says of those that do work
- * for others that they are there.
+ * Sends and receives datagrams, and sends heartbeats if this instance does work
+ * for its peers.
  */
 import { createSocket, type RemoteInfo, type Socket } from "node:dgram";
 import type { Clock } from "@lentilspur/ports/clock";
@@ -14,26 +14,32 @@
   readonly host: string;
   readonly port: number;
   readonly instance: string;
-  /** Whom to tell often that this instance is there. */
+  /** Instances that get the heartbeats of this one. */
   readonly listHeartbeatReceivers: () => readonly Member[];
   readonly describeStatus: () => PeerStatus;
-  /** Whether this instance is to say often that it is there. */
+  /** Whether this instance sends heartbeats. */
   readonly isHeartbeatSender: () => boolean;
   readonly handle: (message: PeerMessage) => void;
-  /** A message that is none of the above, or a socket's failure. */
+  /** Reports an invalid datagram or a failure of the socket. */
   readonly reportFault: (message: string) => void;
 }
 
 /**
- * An instance that does work for others says at least this often that it is
- * there: where there are many, most loads go to one instance only.
+ * Maximum time between two heartbeats of an instance that does work for its
+ * peers. The load messages do not replace heartbeats: with many instances, most
+ * of them go to the aggregator only.
  */
 const HEARTBEAT_INTERVAL_MS = 500;
-/** Between two looks at whether there is news to say. */
+/** Time between two checks for a change of the status. */
 const TICK_MS = 40;
-/** The same where nothing is to be said; each wake-up costs about 0.1 ms. */
+/**
+ * The same at an instance without heartbeats; each wake-up costs about 0.1 ms.
+ */
 const IDLE_TICK_MS = 250;
-/** A datagram above this may be cut into parts and lost as a whole. */
+/**
+ * A longer datagram may be fragmented by the network, and is lost if any part
+ * is.
+ */
 const MAX_DATAGRAM_BYTES = 1_400;
 
 export class PeerTransport {
@@ -52,7 +58,7 @@
     this.#socket.on("error", (error) => options.reportFault(error.message));
   }
 
-  /** The port it listens on, which was picked if none was named. */
+  /** The bound port, which the system chooses if the `port` option is 0. */
   get port(): number {
     return this.#socket.address().port;
   }
@@ -76,8 +82,8 @@
   }
 
   /**
-   * Sends to some instances; nothing tells whether it arrives. False where the
-   * message is too long for a datagram; nothing is sent then.
+   * Sends a message to some instances, without confirmation of its arrival.
+   * Returns false, without sending, if it is too long for a datagram.
    */
   send(to: readonly Member[], message: PeerMessage): boolean {
     return to.length === 0 || this.#sendText(to, JSON.stringify(message));
@@ -94,19 +100,22 @@
     return true;
   }
 
-  /** What is news goes out at once: a new configuration, a store that is away. */
+  /**
+   * Sends a heartbeat when it is due, or at once after a change of the status,
+   * such as a new configuration or a lost store.
+   */
   #sendHeartbeat(): void {
     const {
       clock,
       instance: from,
-      describeStatus: describeStanding,
-      isHeartbeatSender: isSpeaker,
+      describeStatus,
+      isHeartbeatSender,
     } = this.#options;
-    if (!isSpeaker()) {
+    if (!isHeartbeatSender()) {
       return;
     }
     const nowMs = clock.readMs();
-    const message = { kind: "alive", from, ...describeStanding() } as const;
+    const message = { kind: "alive", from, ...describeStatus() } as const;
     const text = JSON.stringify(message);
     if (
       text !== this.#lastHeartbeat.text ||
@@ -133,8 +142,8 @@
         return;
       }
     } catch {
-      // Falls through to the report: neither JSON nor one of the messages.
+      // Neither JSON nor a valid message; reported below.
     }
-    this.#options.reportFault(`Unreadable datagram from ${sender.address}`);
+    this.#options.reportFault(`Invalid datagram from ${sender.address}`);
   }
 }
--- a/packages/gateway/src/peers/report_datagrams.ts
+++ b/packages/gateway/src/peers/report_datagrams.ts
@@ -1,6 +1,6 @@
-/** Reports of which only some fit into one datagram. */
+/** Splits reports that do not fit into one datagram. */
 
-/** In their order, `size` at a time. */
+/** Splits the reports, in order, into groups of at most `size`. */
 export function splitReports<Report>(
   reports: readonly Report[],
   size: number,
--- a/packages/gateway/src/views/catalogue.ts
+++ b/packages/gateway/src/views/catalogue.ts
@@ -1,11 +1,12 @@
 /**
- * The configuration and the targets that this instance routes by.
+ * Holds the configuration and the targets that this instance routes by.
  *
- * A configuration never goes back: one whose version is not above the one in
- * force is ignored, whatever way it came. Targets whose entries lapsed while
- * the store was away get a moment to come back before they count as gone. A
- * target may start again under its id: the later life has nothing of what is
- * known of the earlier, and an entry of the earlier may still arrive after it.
+ * A configuration takes effect only if its version is above the version in
+ * force, whether it came from the store or from a peer. Targets whose entries
+ * expired while the store was unavailable have a grace period for their entries
+ * to come back before the targets are removed. A target may restart under the
+ * same id. The new incarnation inherits no state from the old one, and a late
+ * entry of the old incarnation is ignored.
  */
 import type { Result } from "@lentilspur/outcomes/result";
 import type { Assignee } from "@lentilspur/ownership/key_table";
@@ -34,29 +35,31 @@
 }
 
 /**
- * Entries that lapsed during an outage are back about 2 s after its end; a
+ * Entries that expired during an outage are back about 2 s after its end; a
  * reader that polls twice a second sees the last of them a little later.
  */
 export const EXPIRED_ENTRY_GRACE_MS = 2_500;
 
-/** Entries of one read are taken over within this; reads are 750 ms apart. */
+/** Entries of one read are applied within this time; reads are 750 ms apart. */
 const SAME_READ_WINDOW_MS = 300;
-/** An entry is read at most this long after it was written. */
+/** Maximum time between the write and the read of an entry. */
 const ENTRY_DELAY_MS = 800;
 /**
- * Targets of a data centre that is restored may have become cold in the
- * meantime; their entries tell within this.
+ * Targets of a data centre that is restored may have become cold while it was
+ * evacuated; their entries report this within this time.
  */
 const PRESUMED_COLD_MS = 2_000;
 interface Entry {
   target: KnownTarget;
-  /** Of its newest entry. */
+  /** Sequence number of the newest entry. */
   sequence: number;
-  /** Since when its entry has been missing; own clock. */
+  /**
+   * Since when the entry has been missing, by the local clock; null if present.
+   */
   missingSinceMs: number | null;
-  /** When it counts as gone, if its entry stays missing. */
+  /** When the target is removed if the entry stays missing; null if present. */
   goneAtMs: number | null;
-  /** Since when it has been leaving; own clock. */
+  /** Since when the target has been leaving, by the local clock. */
   leavingSinceMs: number | null;
 }
 
@@ -91,7 +94,7 @@
     const table = decoded.val;
     if (this.#table !== undefined && table.version <= this.#table.version) {
       const why =
-        `Version ${table.version} is not above ${this.#table.version}`;
+        `Version ${table.version} is not above version ${this.#table.version}, which is in force`;
       observe({ kind: "configuration-ignored", why });
       return false;
     }
@@ -102,7 +105,7 @@
     return true;
   }
 
-  /** Whether an entry would change what is known of its target. */
+  /** Whether applying an entry would change the state of its target. */
   isChange(id: string, text: string, nowMs: number): boolean {
     const known = this.#targets.get(id);
     if (text === "") {
@@ -114,11 +117,11 @@
     }
     return this.#describeStaleness(decoded.val) === undefined &&
       (known === undefined || known.goneAtMs !== null ||
-        !isSame(known.target, decoded.val) ||
-        isColder(known.target, decoded.val, nowMs));
+        !isSameState(known.target, decoded.val) ||
+        isColdLonger(known.target, decoded.val, nowMs));
   }
 
-  /** `graceMs` is how long a missing entry may still come back. */
+  /** Applies an entry. If it is empty, it may come back within `graceMs`. */
   applyTarget(
     id: string,
     text: string,
@@ -133,15 +136,18 @@
       this.#reportIgnored(id, decoded.val);
       return;
     }
-    const oldness = this.#describeStaleness(decoded.val);
-    if (oldness !== undefined) {
-      this.#reportIgnored(id, oldness);
+    const staleness = this.#describeStaleness(decoded.val);
+    if (staleness !== undefined) {
+      this.#reportIgnored(id, staleness);
       return;
     }
     this.#setTarget(decoded.val, options.nowMs);
   }
 
-  /** Lets targets go whose time to come back is over; true after any change. */
+  /**
+   * Removes targets whose grace period is over; true if any target has changed
+   * since the last call.
+   */
   advance(nowMs: number): boolean {
     for (const [id, known] of this.#targets) {
       if (known.goneAtMs !== null && nowMs >= known.goneAtMs) {
@@ -158,7 +164,7 @@
     return this.#targets.get(id)?.target;
   }
 
-  /** An operator takes a data centre out of use, or back into it. */
+  /** Applies an operator's order to evacuate a data centre or to restore it. */
   applyEvacuation(
     dataCentre: string,
     isEvacuated: boolean,
@@ -192,12 +198,15 @@
     return this.#evacuations.getSinceMs(dataCentre) !== null;
   }
 
-  /** Data centres that are evacuated now. */
+  /** Lists the data centres that are evacuated now. */
   listEvacuated(): readonly string[] {
     return this.#evacuations.list();
   }
 
-  /** Requests a second that a target takes while it is cold; else undefined. */
+  /**
+   * Requests per second that a target accepts while cold; undefined if it is
+   * not cold.
+   */
   getColdPerSecond(
     { id, bornMs }: TargetIncarnation,
     nowMs: number,
@@ -209,7 +218,7 @@
       : this.#table?.services.get(target.service)?.coldPerSecond;
   }
 
-  /** Why and since when a target gets no new work; null where it does. */
+  /** Why and since when a target gets no new work; null if it gets new work. */
   findWithdrawal(id: string): Withdrawal | null {
     const leavingSinceMs = this.getLeavingSinceMs(id);
     if (leavingSinceMs !== null) {
@@ -223,10 +232,11 @@
   }
 
   /**
-   * Since when a target has been leaving, or `null` where it is not. One whose
-   * entry alone has gone is taken for leaving, though it may come back: it may
-   * have left while this instance could not read the store. Where most entries
-   * of a service have gone at once, they have lapsed in an outage.
+   * Since when a target has been leaving; null if it is not leaving. A target
+   * whose entry is missing counts as leaving, although the entry may come back:
+   * the target may have left while this instance could not read the store. If
+   * most entries of a service are missing, they expired in an outage, and their
+   * targets do not count as leaving.
    */
   getLeavingSinceMs(id: string): number | null {
     const known = this.#targets.get(id);
@@ -240,7 +250,10 @@
       : leavingSinceMs ?? missingSinceMs;
   }
 
-  /** Targets of a service; those that get no new work are marked as leaving. */
+  /**
+   * Lists the targets of a service; targets that get no new work are marked as
+   * leaving.
+   */
   listForNewWork(service: string): readonly KnownTarget[] {
     return this.listTargets(service).map((target) =>
       target.leaving || this.findWithdrawal(target.id) === null
@@ -260,17 +273,18 @@
   }
 
   /**
-   * Whether a life of a target is known to have ended, because another process
-   * has appeared at its address since it was seen there first. Entries outlive
-   * processes, so which of two entries at an address is older must be known: two
-   * that were first read together prove nothing, nor does one for a life that
-   * was never seen here, nor one that names a service that there is not. A later
-   * life under the same id proves nothing of use either: what was sent to the
-   * earlier one may have reached the later.
+   * Whether an incarnation of a target is known to have ended, because another
+   * process has appeared at its address since the incarnation was first seen
+   * there. Entries outlive processes, so the order of two entries at an address
+   * must be known. Nothing is proven by two entries that were first seen in the
+   * same read, by an entry at the address of an incarnation that this instance
+   * never saw, or by an entry that names an unknown service. A later
+   * incarnation under the same id does not count either: requests sent to the
+   * earlier one may have reached the later one.
    */
-  hasEnded(life: Assignee): boolean {
-    const { id, address } = life;
-    const seenAtMs = this.#firstSeenTimes.findFirstSeenMs(life);
+  hasEnded(incarnation: Assignee): boolean {
+    const { id, address } = incarnation;
+    const seenAtMs = this.#firstSeenTimes.findFirstSeenMs(incarnation);
     if (seenAtMs === undefined) {
       return false;
     }
@@ -300,25 +314,28 @@
     }
   }
 
-  /** Why an entry is older than what is known of its target; it is left out. */
+  /**
+   * Describes why an entry is older than the known state of its target; a stale
+   * entry is ignored.
+   */
   #describeStaleness(
     { id, bornMs, sequence }: RoutingTarget,
   ): string | undefined {
-    const seen = this.#firstSeenTimes.getBornMs(id);
-    if (seen === undefined) {
+    const newestBornMs = this.#firstSeenTimes.getBornMs(id);
+    if (newestBornMs === undefined) {
       return undefined;
     }
     if (bornMs === undefined) {
-      return "It does not say when the target started, and earlier ones did";
+      return "The entry has no start time, but an earlier entry of the target had one";
     }
-    if (bornMs < seen) {
-      return `It is of an earlier life: ${bornMs} is before ${seen}`;
+    if (bornMs < newestBornMs) {
+      return `The entry is of an earlier incarnation: start time ${bornMs} is before ${newestBornMs}`;
     }
     const known = this.#targets.get(id);
     const isBehind = known !== undefined && bornMs === known.target.bornMs &&
       sequence < known.sequence;
     return isBehind
-      ? `Its count ${sequence} is below ${known.sequence}`
+      ? `The entry is out of date: sequence ${sequence} is below ${known.sequence}`
       : undefined;
   }
 
@@ -328,24 +345,26 @@
 
   #setTarget(target: RoutingTarget, nowMs: number): void {
     const known = this.#targets.get(target.id);
-    if (known !== undefined && isSame(known.target, target)) {
+    if (known !== undefined && isSameState(known.target, target)) {
       this.#targetsChanged ||= known.missingSinceMs !== null;
       known.sequence = target.sequence;
       known.missingSinceMs = null;
       known.goneAtMs = null;
-      if (isColder(known.target, target, nowMs)) {
+      if (isColdLonger(known.target, target, nowMs)) {
         this.#setCold(known, nowMs + target.coldMs, nowMs);
       }
       return;
     }
     this.#firstSeenTimes.record(target, nowMs);
-    const isSameLife = known !== undefined &&
+    const isSameIncarnation = known !== undefined &&
       known.target.bornMs === target.bornMs;
-    // One that has said that it leaves does not come back in this life.
+    // An incarnation that has reported that it is leaving stays leaving.
     const leaving = target.leaving ||
-      (isSameLife && known.target.leaving);
-    const since = isSameLife ? known.leavingSinceMs : undefined;
-    const coldUntilMs = isSameLife ? known.target.coldUntilMs : -Infinity;
+      (isSameIncarnation && known.target.leaving);
+    const since = isSameIncarnation ? known.leavingSinceMs : undefined;
+    const coldUntilMs = isSameIncarnation
+      ? known.target.coldUntilMs
+      : -Infinity;
     const entry: Entry = {
       target: { ...target, leaving, coldUntilMs },
       sequence: target.sequence,
@@ -355,7 +374,7 @@
     };
     this.#targets.set(target.id, entry);
     this.#report(target, leaving ? "leaving" : "present");
-    if (isColder(entry.target, target, nowMs)) {
+    if (isColdLonger(entry.target, target, nowMs)) {
       this.#setCold(entry, nowMs + target.coldMs, nowMs);
     }
   }
@@ -393,8 +412,11 @@
   }
 }
 
-/** Whether an entry says that its target is cold for longer than is known. */
-function isColder(
+/**
+ * Whether an entry reports that its target is cold for longer than known so
+ * far.
+ */
+function isColdLonger(
   known: KnownTarget,
   { coldMs }: RoutingTarget,
   nowMs: number,
@@ -403,8 +425,11 @@
   return nowMs + coldMs > knownUntilMs + ENTRY_DELAY_MS;
 }
 
-/** A heartbeat that changes nothing but its count is no news. */
-function isSame(left: RoutingTarget, right: RoutingTarget): boolean {
+/**
+ * Whether two entries of a target differ in nothing but the sequence number and
+ * the cold time. A heartbeat alone is no change.
+ */
+function isSameState(left: RoutingTarget, right: RoutingTarget): boolean {
   return left.bornMs === right.bornMs && left.service === right.service &&
     left.address === right.address &&
     left.dataCentre === right.dataCentre && left.places === right.places &&
--- a/packages/gateway/src/views/catalogue_event.ts
+++ b/packages/gateway/src/views/catalogue_event.ts
@@ -1,4 +1,7 @@
-/** What a catalogue tells of, and why a target gets no new work. */
+/**
+ * The events that a catalogue reports, and the reasons why a target gets no new
+ * work.
+ */
 
 export type CatalogueEvent =
   | {
@@ -19,7 +22,10 @@
     readonly why: string;
   }
   | {
-    /** A target is cold, as it says or as is presumed. */
+    /**
+     * A target is cold: it reported so, or its data centre has just been
+     * restored.
+     */
     readonly kind: "target-cold";
     readonly targetId: string;
     readonly service: string;
@@ -29,7 +35,7 @@
     readonly kind: "evacuation";
     readonly dataCentre: string;
     readonly state: "evacuated" | "restored";
-    /** That stand there, as far as known. */
+    /** Number of known targets in the data centre. */
     readonly targets: number;
   };
 
@@ -38,6 +44,6 @@
 
 export interface Withdrawal {
   readonly reason: WithdrawalReason;
-  /** Since when this instance has known; own clock. */
+  /** Since when this instance has known the reason, by the local clock. */
   readonly sinceMs: number;
 }
--- a/packages/gateway/src/views/catalogue_test.ts
+++ b/packages/gateway/src/views/catalogue_test.ts
@@ -28,7 +28,10 @@
   return JSON.stringify({ version, routes: [], services: {}, limits: {} });
 }
 
-/** A catalogue whose configuration names the service of the targets here. */
+/**
+ * Creates a catalogue whose configuration includes the service of the test
+ * targets.
+ */
 function createConfiguredCatalogue() {
   const events: CatalogueEvent[] = [];
   const services = new Map([["ledger", {
@@ -67,9 +70,9 @@
 
 const NOW = { nowMs: 0, graceMs: 0 };
 
-test("a configuration never goes back", () => {
-  // After a lost history, an older record is read again. Put in force, it
-  // would send requests to a service that they must not reach any more.
+test("a configuration with a lower version is ignored", () => {
+  // After the store has lost its history, an older record is read again. If it
+  // took effect, requests would go to a service that must no longer get them.
   const { catalogue, events } = createCatalogue();
   assert.ok(catalogue.applyConfiguration(formatTable(7)));
   assert.ok(!catalogue.applyConfiguration(formatTable(5)));
@@ -82,7 +85,7 @@
   ]);
 });
 
-test("a heartbeat that changes nothing is no change", () => {
+test("a heartbeat without new state does not count as a change", () => {
   const { catalogue } = createCatalogue();
   catalogue.applyTarget("a", formatTarget(), NOW);
   assert.ok(catalogue.advance(0));
@@ -91,7 +94,8 @@
 });
 
 test("a leaving target does not come back under its id", () => {
-  // Its last heartbeats may be read out of an older record after an outage.
+  // After an outage, an older record may bring back the target's last
+  // heartbeats from before it left.
   const { catalogue } = createCatalogue();
   catalogue.applyTarget("a", formatTarget({ leaving: true }), NOW);
   catalogue.applyTarget("a", formatTarget(), { nowMs: 500, graceMs: 0 });
@@ -99,9 +103,10 @@
   assert.equal(catalogue.getLeavingSinceMs("a"), 0);
 });
 
-test("entries that lapsed in an outage get a moment to come back", () => {
-  // The store returns after 8 s without any entries, since all lapsed. Taken
-  // for gone, every target would lose its keys and every request be refused.
+test("entries that expired in an outage have a grace period to come back", () => {
+  // The store returns after 8 s without any entries, since all have expired. If
+  // the targets counted as gone, each would lose its keys and all requests
+  // would be refused.
   const { catalogue } = createCatalogue();
   catalogue.applyTarget("a", formatTarget(), NOW);
   catalogue.applyTarget("b", formatTarget({ id: "b" }), NOW);
@@ -116,11 +121,10 @@
   assert.ok(catalogue.getTarget("b") === undefined);
 });
 
-test("a stale entry at a target's address does not make the target ended", () => {
-  // Two targets hold a case file at once. One has crashed and another started
-  // at its address; the old entry is still there. Taken for the newer one, it
-  // "proves" that the living target has ended, and its keys go to a third
-  // while it serves them.
+test("a stale entry at a target's address does not prove that the target ended", () => {
+  // A target crashed and another started at its address, but the old entry
+  // remains. If it counted as newer, the running target would seem ended, and
+  // its keys would be granted to a third target while it serves them.
   const { catalogue } = createConfiguredCatalogue();
   catalogue.applyTarget("old", formatTarget({ id: "old" }), NOW);
   catalogue.applyTarget("new", formatTarget({ id: "new" }), {
@@ -131,7 +135,7 @@
   assert.ok(catalogue.hasEnded({ id: "old", address: ADDRESS }));
 });
 
-test("which of two entries that were read together is older is not known", () => {
+test("two entries that were read together do not prove which one is older", () => {
   const { catalogue } = createConfiguredCatalogue();
   catalogue.applyTarget("a", formatTarget(), NOW);
   catalogue.applyTarget("b", formatTarget({ id: "b" }), NOW);
@@ -141,11 +145,9 @@
 });
 
 test("a target that left while the store could not be read gets no new work", () => {
-  // An instance is cut off from the store for 12 s; a target leaves meanwhile.
-  // Back again, the instance finds its entry missing, takes it for one that has
-  // lapsed in an outage, and sends to it for 2.5 s more. (Seen on a drawn day:
-  // scale-2 of abay-recovery, seed 618288458011, 12 s after the target had said
-  // that it leaves.)
+  // An instance cut off from the store for 12 s took a target that had left for
+  // one whose entry had expired, and sent to it for 2.5 s more (scale-2 of
+  // abay-recovery, seed 618288458011, 12 s after the target reported leaving).
   const { catalogue } = createCatalogue();
   for (const id of ["a", "b", "c"]) {
     catalogue.applyTarget(id, formatTarget({ id }), NOW);
@@ -159,24 +161,25 @@
       .map(({ id }) => id),
     ["b", "c"],
   );
-  // Where most go at once, they have lapsed, and serve on.
+  // If most entries go missing at once, they have expired, and their targets
+  // keep getting work.
   catalogue.applyTarget("b", "", missing);
   assert.ok(
     catalogue.listForNewWork("ledger").every(({ leaving }) => !leaving),
   );
 });
 
-test("an unreadable entry is left out and told", () => {
+test("an unreadable entry is ignored and reported", () => {
   const { catalogue, events } = createCatalogue();
   catalogue.applyTarget("a", "garbage", NOW);
   assert.equal(catalogue.targetCount, 0);
   assert.equal(events[0]?.kind, "target-ignored");
 });
 
-test("a target that starts again under its id is a new one", () => {
-  // A target says that it leaves, crashes, and starts again under its id. Were
-  // the new life taken for the old one, it would count as leaving for good and
-  // never get a request.
+test("a target that restarts under its id does not inherit the leaving state", () => {
+  // A target reports that it is leaving, crashes and restarts under its id. If
+  // the new incarnation counted as the old one, it would be leaving for good
+  // and never get a request.
   const { catalogue } = createCatalogue();
   catalogue.applyTarget(
     "a",
@@ -189,19 +192,27 @@
   });
   assert.ok(!catalogue.getTarget("a")?.leaving);
   assert.equal(catalogue.getLeavingSinceMs("a"), null);
-  assert.ok(catalogue.advance(600), "places and keepers are told of it");
+  assert.ok(
+    catalogue.advance(600),
+    "the restart counts as a change",
+  );
 });
 
-test("an entry of an earlier life that arrives late changes nothing", () => {
-  // A slow read or a relay brings an entry of the life before after the target
-  // has started again. It says that the target leaves, which it did then.
+test("a late entry of an earlier incarnation is ignored", () => {
+  // After a target has restarted, a slow read or a relay brings an entry of its
+  // previous incarnation, which was leaving. The entry must not affect the new
+  // incarnation.
   const { catalogue, events } = createCatalogue();
   const life = { bornMs: 9_000, sequence: 2 };
   catalogue.applyTarget("a", formatTarget(life), NOW);
   const earlier = formatTarget({ bornMs: 1_000, sequence: 80, leaving: true });
-  assert.ok(!catalogue.isChange("a", earlier, 0), "nor is it passed on");
+  assert.ok(
+    !catalogue.isChange("a", earlier, 0),
+    "a stale entry is not passed on",
+  );
   catalogue.applyTarget("a", earlier, NOW);
-  // Nor does it once the entry of the later life has gone.
+  // The stale entry is also ignored once the entry of the later incarnation is
+  // gone.
   catalogue.applyTarget("a", "", NOW);
   catalogue.advance(10);
   catalogue.applyTarget("a", earlier, { nowMs: 20, graceMs: 0 });
@@ -212,9 +223,9 @@
   );
 });
 
-test("of one life the entry with the higher count is the newer one", () => {
-  // Pages of the newest records are no snapshot: one may bring an entry from
-  // before the target said that it leaves.
+test("of two entries of one incarnation the higher sequence number wins", () => {
+  // Pages of the newest records are not a snapshot: a page may bring an entry
+  // from before the target reported that it is leaving.
   const { catalogue } = createCatalogue();
   catalogue.applyTarget(
     "a",
@@ -229,16 +240,16 @@
   assert.equal(catalogue.getTarget("a")?.places, 4);
 });
 
-test("an entry that lost its time of start is another writer's", () => {
+test("an entry without a start time is ignored once one had a start time", () => {
   const { catalogue } = createCatalogue();
   catalogue.applyTarget("a", formatTarget({ bornMs: 5, places: 4 }), NOW);
   catalogue.applyTarget("a", formatTarget({ sequence: 9, places: 1 }), NOW);
   assert.equal(catalogue.getTarget("a")?.places, 4);
 });
 
-test("a later life at an address does not prove the end of itself", () => {
-  // "a" crashed, "b" had its address for a while, and "a" started there again.
-  // The entry of "b" is later than the first life of "a" and earlier than the
+test("an older entry at an address does not prove that a later incarnation ended", () => {
+  // "a" crashed, "b" used its address for a while, and "a" restarted there. The
+  // entry of "b" is newer than the first incarnation of "a" and older than the
   // second, which holds its keys.
   const { catalogue } = createConfiguredCatalogue();
   catalogue.applyTarget("a", formatTarget({ bornMs: 1 }), NOW);
@@ -247,13 +258,14 @@
   assert.ok(catalogue.hasEnded({ id: "a", address: ADDRESS, bornMs: 1 }));
   catalogue.applyTarget("a", formatTarget({ bornMs: 2_000 }), later(2_000));
   assert.ok(!catalogue.hasEnded({ id: "a", address: ADDRESS, bornMs: 2_000 }));
-  // What was sent to the first life may have reached the second.
+  // Requests sent to the first incarnation may have reached the second.
   assert.ok(!catalogue.hasEnded({ id: "a", address: ADDRESS, bornMs: 1 }));
 });
 
-test("an entry of a service that there is not proves nothing", () => {
-  // Another writer's entry names a living target's address. Believed, it would
-  // let the target's keys be granted to another while it serves them.
+test("an entry of an unknown service does not prove that a target ended", () => {
+  // An entry of another writer names the address of a running target. If it
+  // counted, the target's keys would be granted to another target while it
+  // serves them.
   const { catalogue } = createConfiguredCatalogue();
   catalogue.applyTarget("a", formatTarget(), NOW);
   catalogue.applyTarget("x", formatTarget({ id: "x", service: "odd" }), {
@@ -292,7 +304,7 @@
   assert.deepEqual(states, ["evacuated", "restored"]);
 });
 
-test("a target is cold for as long as it says, and no longer for each entry", () => {
+test("a target is cold for the reported time, which repeated reports do not extend", () => {
   const { catalogue } = createConfiguredCatalogue();
   catalogue.applyTarget("a", formatTarget({ coldMs: 3_000 }), NOW);
   assert.equal(catalogue.getTarget("a")?.coldUntilMs, 3_000);
@@ -305,7 +317,7 @@
   assert.equal(catalogue.getTarget("a")?.coldUntilMs, 8_000);
 });
 
-test("targets of a restored data centre count as cold until they have said", () => {
+test("targets of a restored data centre count as cold until they report", () => {
   const { catalogue } = createConfiguredCatalogue();
   catalogue.applyTarget("a", formatTarget(), NOW);
   catalogue.applyEvacuation("bole", true, 0);
--- a/packages/gateway/src/views/evacuations.ts
+++ b/packages/gateway/src/views/evacuations.ts
@@ -1,13 +1,13 @@
 /**
- * Which data centres operators have taken out of use, and since when. Nothing
- * new is sent to the targets of an evacuated data centre.
+ * Records which data centres operators have evacuated, and since when. The
+ * targets of an evacuated data centre get no new work.
  */
 
 export class Evacuations {
-  /** By data centre, since when it is evacuated; own clock. */
+  /** Since when each data centre has been evacuated, by the local clock. */
   readonly #sinceMs = new Map<string, number>();
 
-  /** True where it changes anything. */
+  /** Returns true if the state has changed. */
   apply(dataCentre: string, isEvacuated: boolean, nowMs: number): boolean {
     if (isEvacuated === this.#sinceMs.has(dataCentre)) {
       return false;
--- a/packages/gateway/src/views/key_directory.ts
+++ b/packages/gateway/src/views/key_directory.ts
@@ -1,4 +1,7 @@
-/** Which target owns a key, as the store last said. */
+/**
+ * Records which target owns each key, according to the newest table from the
+ * store or a peer.
+ */
 import {
   findRange,
   type Holder,
@@ -9,16 +12,19 @@
 
 export type KeyOwner =
   | { readonly kind: "owned"; readonly owner: Holder; readonly offset: number }
-  /** It is passing from one target to another, since this time; own clock. */
+  /**
+   * The key is moving from one target to another since this time, by the local
+   * clock.
+   */
   | {
     readonly kind: "moving";
     readonly offset: number;
     readonly sinceMs: number;
   }
-  /** Nobody has assigned the service's keys yet. */
+  /** The service's keys have not been assigned yet. */
   | { readonly kind: "unassigned" };
 
-/** Far more ranges than are on their way between two records. */
+/** Far more ranges than move between two records. */
 const MAX_GRANTED = 2_000;
 
 function formatKeys(from: number, to: number, token: number): string {
@@ -27,18 +33,25 @@
 
 interface KnownTable {
   readonly table: KeyTable;
-  /** Of the record that holds it: its version. */
+  /** Offset of the record that holds the table, used as the table's version. */
   readonly offset: number;
 }
 
 export class KeyDirectory {
   readonly #tables = new Map<string, KnownTable>();
-  /** When the moves under a token were first seen here, by service. */
+  /**
+   * By service and token: when the move under this token was first seen here.
+   */
   readonly #movingSince = new Map<string, Map<number, number>>();
-  /** Ranges on their way that are known to have arrived, by service. */
+  /**
+   * By service: moving ranges that are known to have reached their new owners.
+   */
   readonly #granted = new Map<string, Set<string>>();
 
-  /** Gives a reason where the text is no table; the one before stays. */
+  /**
+   * Returns the fault if the text is not a valid table; the table before then
+   * stays in force.
+   */
   applyTable(
     service: string,
     text: string,
@@ -52,7 +65,7 @@
     return undefined;
   }
 
-  /** A table that need not be parsed. */
+  /** Sets a table that has been parsed already. */
   setTable(
     service: string,
     table: KeyTable,
@@ -62,7 +75,10 @@
     this.#recordMoves(service, table, options.nowMs);
   }
 
-  /** What a keeper tells of before its record does; a hint. */
+  /**
+   * Applies a keeper's report that ranges have reached their new owners, which
+   * arrives before the record does. The report is only a hint.
+   */
   applyGranted(service: string, ranges: readonly GrantedKeys[]): void {
     const granted = this.#granted.get(service) ?? new Set<string>();
     this.#granted.set(service, granted);
@@ -97,7 +113,9 @@
     return { kind: "owned", owner: range.owner, offset: known.offset };
   }
 
-  /** Moves that are over are forgotten. */
+  /**
+   * Records since when each range has been moving, and drops finished moves.
+   */
   #recordMoves(service: string, table: KeyTable, nowMs: number): void {
     const before = this.#movingSince.get(service);
     const since = new Map<number, number>();
--- a/packages/gateway/src/views/partition_view.ts
+++ b/packages/gateway/src/views/partition_view.ts
@@ -1,10 +1,11 @@
 /**
  * Follows one partition of the store and keeps the newest record of each key.
  *
- * Guards against the ways in which a store fails its readers: it may be down,
- * slow, or turn this instance away; its history may be gone, so that changes
- * were missed and must be found by comparing; and an answer may come from a
- * call that was sent long ago, so what is confirmed counts from the sending.
+ * Copes with the ways in which a store fails its readers. The store may be
+ * down, slow or refusing this instance. It may have dropped its history, so
+ * that missed changes are found only by comparing the newest records with the
+ * known ones. A response may belong to a call sent long ago, so the state
+ * counts as confirmed from the time at which the call was sent.
  */
 import type { Result } from "@lentilspur/outcomes/result";
 import type { Clock } from "@lentilspur/ports/clock";
@@ -32,11 +33,11 @@
   }
   | { readonly kind: "history-lost"; readonly partition: Partition }
   | {
-    /** A read was given up since others had news; it is begun anew. */
+    /** A read was abandoned because newer records exist; a new read starts. */
     readonly kind: "read-abandoned";
     readonly partition: Partition;
     readonly afterMs: number;
-    /** Of its answer, which are read again. */
+    /** Bytes of the abandoned response, which have to be transferred again. */
     readonly receivedBytes: number;
   };
 
@@ -45,64 +46,73 @@
   readonly store: Store;
   readonly partition: Partition;
   readonly getPollingPolicy: () => PollingPolicy;
-  /** Whether a record is of no use once the key has a newer one; false if left out. */
+  /** Whether only the newest record of a key is needed; defaults to false. */
   readonly isNewestOnly?: boolean;
-  /** Called for each record in order; an empty value means that the key is gone. */
+  /** Called for each record in order; an empty value removes the key. */
   readonly apply: (record: StoreRecord) => void;
   readonly observe: (event: PartitionViewEvent) => void;
-  /** Told of each read of the partition's end. */
-  readonly onRead?: (slice: RecordBatch) => void;
+  /** Called after each read that continues from a known offset. */
+  readonly onRead?: (batch: RecordBatch) => void;
 }
 
-/** How often a partition is read; it may change with this instance's part. */
+/**
+ * How often a partition is read; the policy changes with the duties of this
+ * instance.
+ */
 export interface PollingPolicy {
-  /** Pause after each read; each call has a price, and many records come at once. */
+  /**
+   * Pause after each successful read. Each call has a cost, and a pause lets
+   * one call return many records.
+   */
   readonly pollDelayMs: number;
-  /** How long a read may wait at the store for a record. */
+  /** How long the store may hold a read open until there is a record. */
   readonly waitMs: number;
-  /** What others pass on or confirm counts as read for this long; 0: not at all. */
+  /**
+   * How long records or confirmations from peers replace a read; 0: they never
+   * do.
+   */
   readonly peerDataTtlMs: number;
-  /** Longest pause between two reads that fail. */
+  /** Maximum pause after a failed read. */
   readonly maxBackoffMs: number;
 }
 
-/** What stands in a partition from one offset up to another. */
+/** The records of a partition between two offsets. */
 export interface RecordBatch {
   readonly base: number;
   readonly end: number;
-  /** How long ago this was so. */
+  /** Age of this state. */
   readonly ageMs: number;
-  /** How long ago the store came back, where it had been away. */
+  /** Time since the end of the store's last outage; null if there was none. */
   readonly sinceOutageMs: number | null;
-  /** Records without news may be left out. */
+  /** Records that change nothing may be omitted. */
   readonly records: readonly StoreRecord[];
 }
 
-/** First pause after a failed read; each further one is twice as long. */
+/** Each failed read in a row doubles the backoff, starting from this value. */
 const MIN_BACKOFF_MS = 100;
-/** A change of pace is noticed within this. */
+/** A change of the polling policy takes effect within this time. */
 const POLICY_CHECK_MS = 250;
 /**
- * A read that stands still for this long while there is news is given up: its
- * connection has gone silent, or a store that has just come back goes on holding
- * it. A slow store answers in 240 ms.
+ * A read that receives no data for this long while newer records exist is
+ * abandoned: its connection has gone silent, or a store that has just recovered
+ * still holds the read open. A slow store responds in 240 ms.
  */
 const MIN_STALL_TIMEOUT_MS = 400;
 /**
- * Each read that was given up doubles it, up to this: a store with more to send
- * than it can begins its answers late, and would be asked the same again and
- * again by all.
+ * Each abandoned read doubles the stall timeout, up to this maximum. A store
+ * whose link is saturated begins its responses late, and with a fixed timeout
+ * all instances would send it the same read again and again.
  */
 const MAX_STALL_TIMEOUT_MS = 1_600;
 
-/** In place of an offset: the newest record of each key is read. */
+/** Used in place of an offset to read the newest record of each key. */
 const NEWEST = "newest";
 
 export class PartitionView {
   readonly #options: PartitionViewOptions;
   readonly #newestRecords = new Map<string, StoreRecord>();
   #end = -1;
-  #confirmedAtMs = -Infinity;
+  #storeConfirmedAtMs = -Infinity;
   #peerConfirmedAtMs = -Infinity;
   #lostAtMs: number | null = null;
   #regainedAtMs = -Infinity;
@@ -121,25 +131,28 @@
     return this.#end >= 0;
   }
 
-  /** The offset up to which everything has been applied. */
+  /** The offset up to which all records have been applied. */
   get end(): number {
     return this.#end;
   }
 
   /**
-   * The store said at this time that the partition was as known here; own clock.
-   * What others say does not count: a keeper acts by this.
+   * When the store last confirmed that this view is current, by the local
+   * clock. Confirmations from peers do not count, because keepers rely on this
+   * time.
    */
   get storeConfirmedAtMs(): number {
-    return this.#confirmedAtMs;
+    return this.#storeConfirmedAtMs;
   }
 
-  /** As above, by the store's word or that of others. */
+  /** When the store or a peer last confirmed that this view is current. */
   get currentAsOfMs(): number {
-    return Math.max(this.#confirmedAtMs, this.#peerConfirmedAtMs);
+    return Math.max(this.#storeConfirmedAtMs, this.#peerConfirmedAtMs);
   }
 
-  /** When the store last answered again after it had not; own clock. */
+  /**
+   * When the store last responded again after an outage, by the local clock.
+   */
   get regainedAtMs(): number {
     return this.#regainedAtMs;
   }
@@ -152,42 +165,49 @@
     return this.#newestRecords.get(key);
   }
 
-  /** Another instance says that nothing has changed, or that this one wrote it. */
+  /**
+   * Records that the view was current at this time, because a peer reported an
+   * unchanged end or this instance wrote the newest record itself.
+   */
   recordPeerConfirmation(atMs: number): void {
     this.#peerConfirmedAtMs = Math.max(this.#peerConfirmedAtMs, atMs);
   }
 
   /**
-   * There is something to read: the next read comes after the gap at once, and
-   * a read that is on its way may not stand still any more. Without that, one
-   * that a returning store held hid a configuration for the whole wait.
+   * Requests a read because newer records exist. The next read starts right
+   * after the poll delay, and a read in flight is abandoned once it stalls.
+   * Otherwise a read that a recovering store holds open would hide a new
+   * configuration for the whole wait.
    */
   scheduleRead(): void {
     this.#isScheduled = true;
     this.#wake?.();
   }
 
-  /** Takes over what another instance has read, if nothing is missing before it. */
-  applyBatch(slice: RecordBatch): void {
-    if (slice.end < this.#end || !this.isLoaded) {
+  /**
+   * Applies records that another instance has read, unless records before them
+   * are missing here.
+   */
+  applyBatch(batch: RecordBatch): void {
+    if (batch.end < this.#end || !this.isLoaded) {
       return;
     }
-    if (slice.base > this.#end) {
+    if (batch.base > this.#end) {
       this.scheduleRead();
       return;
     }
     const nowMs = this.#options.clock.readMs();
-    if (slice.sinceOutageMs !== null) {
-      const regainedAtMs = nowMs - slice.sinceOutageMs;
+    if (batch.sinceOutageMs !== null) {
+      const regainedAtMs = nowMs - batch.sinceOutageMs;
       this.#regainedAtMs = Math.max(this.#regainedAtMs, regainedAtMs);
     }
-    this.recordPeerConfirmation(nowMs - slice.ageMs);
-    for (const record of slice.records) {
+    this.recordPeerConfirmation(nowMs - batch.ageMs);
+    for (const record of batch.records) {
       if (record.offset >= this.#end) {
         this.#applyRecord(record);
       }
     }
-    this.#end = slice.end;
+    this.#end = batch.end;
   }
 
   async run(signal: AbortSignal): Promise<void> {
@@ -201,14 +221,14 @@
     }
   }
 
-  /** While others pass on what they read, there is nothing to read here. */
+  /** Skips reads for as long as peers send or confirm the partition's state. */
   async #waitUntilDue(signal: AbortSignal): Promise<void> {
-    const { clock, getPollingPolicy: getPace } = this.#options;
+    const { clock, getPollingPolicy } = this.#options;
     while (
       !signal.aborted && !this.#isScheduled && !this.hasLostStore &&
       this.isLoaded
     ) {
-      const dueAtMs = this.currentAsOfMs + getPace().peerDataTtlMs;
+      const dueAtMs = this.currentAsOfMs + getPollingPolicy().peerDataTtlMs;
       const leftMs = dueAtMs - clock.readMs();
       if (leftMs <= 0) {
         return;
@@ -222,19 +242,19 @@
     }
   }
 
-  /** One read; gives the pause before the next. */
+  /** Reads once and returns the pause before the next read. */
   async #readOnce(): Promise<number> {
-    const { clock, getPollingPolicy: getPace } = this.#options;
-    const { pollDelayMs: gapMs } = getPace();
+    const { clock, getPollingPolicy } = this.#options;
+    const { pollDelayMs } = getPollingPolicy();
     const sentAtMs = clock.readMs();
     const base = this.#chooseStart();
-    const watch = new ReadWatchdog(clock, this.#stallTimeoutMs);
-    this.#wake = () => watch.recordPendingChange();
-    const read = await watch.wait(this.#startRead(base, watch));
+    const watchdog = new ReadWatchdog(clock, this.#stallTimeoutMs);
+    this.#wake = () => watchdog.recordPendingChange();
+    const read = await watchdog.wait(this.#startRead(base, watchdog));
     this.#wake = undefined;
     this.#isAbandoned = read === undefined;
     if (read === undefined) {
-      return this.#handleAbandoned(watch, sentAtMs);
+      return this.#handleAbandoned(watchdog, sentAtMs);
     }
     if (!read.ok) {
       return this.#handleFailure(read.val);
@@ -247,37 +267,38 @@
     } else {
       this.#applyRead(base, read.val.records, sentAtMs);
     }
-    return gapMs;
+    return pollDelayMs;
   }
 
   /**
-   * Whoever has been without the store may have missed a dozen configurations of
-   * 216 kB: to read them all takes a link of 7 Mbit/s 3 s, and all but the newest
-   * are of no use.
+   * An instance that was cut off from the store may have missed a dozen
+   * configurations of 216 kB each. On a link of 7 Mbit/s, reading all of them
+   * takes 3 s, and only the newest one is needed.
    */
   #chooseStart(): number | typeof NEWEST {
-    const isBehind = this.#options.isNewestOnly === true &&
+    const readsNewest = this.#options.isNewestOnly === true &&
       this.#hasLastReadFailed();
-    return !this.isLoaded || isBehind ? NEWEST : this.#end;
+    return !this.isLoaded || readsNewest ? NEWEST : this.#end;
   }
 
-  /** Whether the last read has brought nothing. */
+  /** Whether the last read failed or was abandoned. */
   #hasLastReadFailed(): boolean {
     return this.hasLostStore || this.#isAbandoned;
   }
 
   #startRead(
     base: number | typeof NEWEST,
-    watch: ReadWatchdog,
+    watchdog: ReadWatchdog,
   ): Promise<Result<StoreReadResult, StoreFailure>> {
-    const { store, partition, getPollingPolicy: getPace } = this.#options;
-    const onData = (bytes: number): void => watch.recordData(bytes);
-    const { signal } = watch;
+    const { store, partition, getPollingPolicy } = this.#options;
+    const onData = (bytes: number): void => watchdog.recordData(bytes);
+    const { signal } = watchdog;
     if (base === NEWEST) {
       return store.readNewest(partition, { onData, signal });
     }
-    // A store that is away shows its return in a short call, not a long one.
-    const waitMs = this.#hasLastReadFailed() ? 0 : getPace().waitMs;
+    // During an outage, reads return at once, so that a short call detects the
+    // end of the outage.
+    const waitMs = this.#hasLastReadFailed() ? 0 : getPollingPolicy().waitMs;
     return store.read({ partition, from: base, waitMs, onData, signal });
   }
 
@@ -292,7 +313,10 @@
     return 0;
   }
 
-  /** What others passed on while the read was on its way is not applied again. */
+  /**
+   * Applies the records of a read, except those that peers sent while the read
+   * was in flight.
+   */
   #applyRead(
     base: number,
     records: readonly StoreRecord[],
@@ -319,8 +343,7 @@
   }
 
   #handleFailure(failure: StoreFailure): number {
-    const { clock, partition, observe, getPollingPolicy: getPace } =
-      this.#options;
+    const { clock, partition, observe, getPollingPolicy } = this.#options;
     if (failure.kind === "expired") {
       observe({ kind: "history-lost", partition });
       this.#end = -1;
@@ -331,13 +354,16 @@
       const message = "message" in failure ? failure.message : failure.kind;
       observe({ kind: "lost", partition, cause: failure.kind, message });
     }
-    this.#backoffMs = Math.min(getPace().maxBackoffMs, 2 * this.#backoffMs);
+    this.#backoffMs = Math.min(
+      getPollingPolicy().maxBackoffMs,
+      2 * this.#backoffMs,
+    );
     return this.#backoffMs;
   }
 
   #recordStoreResponse(sentAtMs: number): void {
     const { clock, partition, observe } = this.#options;
-    this.#confirmedAtMs = Math.max(this.#confirmedAtMs, sentAtMs);
+    this.#storeConfirmedAtMs = Math.max(this.#storeConfirmedAtMs, sentAtMs);
     this.#backoffMs = MIN_BACKOFF_MS;
     if (this.#lostAtMs !== null) {
       const nowMs = clock.readMs();
@@ -348,11 +374,14 @@
     }
   }
 
-  /** What is not among the newest records has gone while nobody looked. */
+  /**
+   * Removes the keys that are not among the newest records: they were deleted
+   * while this instance was not reading.
+   */
   #mergeSnapshot(records: readonly StoreRecord[]): void {
-    const present = new Set(records.map((record) => record.key));
+    const presentKeys = new Set(records.map((record) => record.key));
     for (const known of [...this.#newestRecords.values()]) {
-      if (!present.has(known.key)) {
+      if (!presentKeys.has(known.key)) {
         this.#applyRecord({ ...known, value: "" });
       }
     }
--- a/packages/gateway/src/views/partition_view_test.ts
+++ b/packages/gateway/src/views/partition_view_test.ts
@@ -10,33 +10,33 @@
 const SLOW_LINK_BYTES_PER_MS = 875;
 const LARGE_RECORD_BYTES = 216_000;
 
-/** `changeClient` may make the store's calls fail in ways of a test's own. */
-function startTail(changeClient = (client: Store): Store => client) {
+/** `changeClient` may wrap the store client to inject failures. */
+function startView(changeClient = (client: Store): Store => client) {
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const applied: StoreRecord[] = [];
   const events: PartitionViewEvent[] = [];
-  const pace = { validMs: 0, maxPauseMs: 400 };
+  const policy = { peerDataTtlMs: 0, maxBackoffMs: 400 };
   store.write(PARTITION, "a", "1");
-  const tail = new PartitionView({
+  const view = new PartitionView({
     clock,
     store: changeClient(store.createClient("me")),
     partition: PARTITION,
     getPollingPolicy: () => ({
       pollDelayMs: 100,
       waitMs: 2_000,
-      peerDataTtlMs: pace.validMs,
+      peerDataTtlMs: policy.peerDataTtlMs,
       maxBackoffMs: 400,
     }),
     apply: (record) => applied.push(record),
     observe: (event) => events.push(event),
   });
-  void tail.run(new AbortController().signal);
-  return { clock, store, applied, events, tail, pace };
+  void view.run(new AbortController().signal);
+  return { clock, store, applied, events, view, policy };
 }
 
-test("records are applied in order, from the newest of each key on", async () => {
-  const { clock, store, applied, tail } = startTail();
+test("records are applied in order, starting with the newest of each key", async () => {
+  const { clock, store, applied, view } = startView();
   await clock.advance(200);
   store.write(PARTITION, "a", "2");
   store.write(PARTITION, "b", "1");
@@ -46,13 +46,14 @@
     "a2",
     "b1",
   ]);
-  assert.equal(tail.end, 3);
+  assert.equal(view.end, 3);
 });
 
-test("an entry that went with the history is found to be missing", async () => {
-  // A target leaves while the store's history is dropped. No record of it is
-  // ever read; a reader that goes on from the end would send to it for ever.
-  const { clock, store, applied, events } = startTail();
+test("an entry that was removed with the history is reported as gone", async () => {
+  // A target leaves while the store drops its history, so no record of the
+  // removal is ever read. A reader that continues from the old end would send
+  // requests to the target forever.
+  const { clock, store, applied, events } = startView();
   await clock.advance(50);
   store.setFaultMode("me", "refusing");
   await clock.advance(2_500);
@@ -73,10 +74,11 @@
   ]);
 });
 
-test("a store's return is seen within a second and a half", async () => {
-  // The store falls silent for 8 s. A read that it was to hold open for
-  // seconds, begun shortly before its return, would hide a change for as long.
-  const { clock, store, applied } = startTail();
+test("the return of a silent store is detected within 1.5 s", async () => {
+  // The store is silent for 8 s. A read started shortly before its return,
+  // which the store may hold open for seconds, would hide a change for that
+  // time.
+  const { clock, store, applied } = startView();
   await clock.advance(50);
   store.setFaultMode("me", "silent");
   await clock.advance(8_000);
@@ -86,69 +88,70 @@
   assert.equal(applied.at(-1)?.value, "2");
 });
 
-test("a read on a silent connection gives way to others' news", async () => {
-  // The store comes back, the next long read goes out on a connection that has
-  // gone silent, and a change is written. Another instance tells of it every
-  // 400 ms; the old state was used until the read's time was over.
-  const { clock, store, applied, tail } = startTail((client) => ({
+test("a read on a silent connection is abandoned when peers report a change", async () => {
+  // After the store's return a long read hangs on a dead connection while a
+  // change is written. Another instance reports the change every 400 ms, but
+  // the old state was used until the read timed out.
+  const { clock, store, applied, view } = startView((client) => ({
     ...client,
     read: (request) =>
       request.waitMs > 0 ? new Promise(() => {}) : client.read(request),
   }));
   await clock.advance(200);
   store.write(PARTITION, "a", "2");
-  tail.scheduleRead();
+  view.scheduleRead();
   await clock.advance(400);
-  tail.scheduleRead();
+  view.scheduleRead();
   await clock.advance(100);
   assert.deepEqual(applied.map(({ value }) => value), ["1", "2"]);
 });
 
-test("an answer that keeps coming in is not begun anew", async () => {
-  // What an instance has missed takes its link 0.74 s, and others tell of news all
-  // the while: 0.4 s after the first word the read was given up, and the next one
-  // began with the same first byte, for good.
-  const { clock, store, events, tail, pace } = startTail();
-  pace.validMs = 60_000;
+test("a read that keeps receiving data is not restarted", async () => {
+  // Missed records take 0.74 s on this link while peers keep reporting newer
+  // ones. The read was abandoned 0.4 s after the first report, and each new
+  // read started over, without end.
+  const { clock, store, events, view, policy } = startView();
+  policy.peerDataTtlMs = 60_000;
   await clock.advance(200);
   store.setLinkRate("me", SLOW_LINK_BYTES_PER_MS);
   for (let count = 0; count < 3; count++) {
     store.write(PARTITION, "a", "x".repeat(LARGE_RECORD_BYTES));
   }
   for (let spentMs = 0; spentMs < 900; spentMs += 100) {
-    tail.scheduleRead();
+    view.scheduleRead();
     await clock.advance(100);
   }
-  assert.equal(tail.end, 4);
+  assert.equal(view.end, 4);
   assert.deepEqual(events, []);
 });
 
-test("a store that begins its answers late is not asked for ever", async () => {
-  // All instances read a large configuration at once, so that answers begin after
-  // 0.6 s. Others tell of the new version every 100 ms; reads that were given up
-  // after 0.4 s each made the store slower still, and none was ever answered.
-  const { clock, store, applied, tail, pace } = startTail((client) => ({
+test("a store that begins its responses late is not sent the same read forever", async () => {
+  // All instances read a large configuration at once, so responses start after
+  // 0.6 s. Peers report the version every 100 ms; abandoning reads after 0.4 s
+  // slowed the store further, and no read ever finished.
+  const { clock, store, applied, view, policy } = startView((client) => ({
     ...client,
     read: async (request) => {
       await clock.sleep(600);
       return await client.read(request);
     },
   }));
-  pace.validMs = 60_000;
+  policy.peerDataTtlMs = 60_000;
   await clock.advance(200);
   store.write(PARTITION, "a", "2");
   for (let spentMs = 0; spentMs < 2_000; spentMs += 100) {
-    tail.scheduleRead();
+    view.scheduleRead();
     await clock.advance(100);
   }
   assert.equal(applied.at(-1)?.value, "2");
 });
 
-test("a silent store is not asked more often for others' news", async () => {
-  // A third of the instances are turned away in silence while the others tell of
-  // new versions: each call has its price, and none of them is answered.
+test("reports of changes do not cause more calls to a silent store", async () => {
+  // The store silently drops the calls of a third of the instances while the
+  // other instances report new versions. Each call has a cost, and none gets a
+  // response.
   let calls = 0;
-  const { clock, store, tail } = startTail((client) => ({
+  const { clock, store, view } = startView((client) => ({
     ...client,
     read: (request) => {
       calls++;
@@ -160,19 +163,19 @@
   await clock.advance(2_000);
   calls = 0;
   for (let spentMs = 0; spentMs < 8_000; spentMs += 100) {
-    tail.scheduleRead();
+    view.scheduleRead();
     await clock.advance(100);
   }
-  // Each is silent for 1 s, and the pause after it is 0.4 s; the first word ends
-  // the one before early, and the last has not ended.
+  // Each read is silent for 1 s, followed by a pause of 0.4 s. The first report
+  // ends the read in flight early, and the last read has not finished.
   assert.ok(calls <= 8_000 / 1_400 + 2, `${calls} calls`);
 });
 
-test("news of what a read is about to bring costs no second read", async () => {
-  // A change reaches others a moment earlier than this instance's own read,
-  // which a slow store answers after 240 ms.
+test("a report of a change that a read in flight returns causes no second read", async () => {
+  // Peers learn of a change shortly before this instance's own read brings it;
+  // a slow store responds to that read after 240 ms.
   let reads = 0;
-  const { clock, store, applied, tail } = startTail((client) => ({
+  const { clock, store, applied, view } = startView((client) => ({
     ...client,
     read: async (request) => {
       reads++;
@@ -183,7 +186,7 @@
   }));
   await clock.advance(200);
   store.write(PARTITION, "a", "2");
-  tail.scheduleRead();
+  view.scheduleRead();
   await clock.advance(300);
   assert.equal(applied.at(-1)?.value, "2");
   assert.equal(reads, 1);
--- a/packages/gateway/src/views/read_watchdog.ts
+++ b/packages/gateway/src/views/read_watchdog.ts
@@ -1,12 +1,12 @@
 /**
- * Waits for one read of the store, and gives it up when it stands still although
- * there is something newer to read.
+ * Waits for one read of the store, and abandons it if it stalls while newer
+ * records exist.
  *
- * Guards against two ways of not learning what is new. A read on a connection
- * that has gone silent would hide it until the read's own time is over. And an
- * answer that takes its link longer than a fixed limit would be given up with
- * most of it in, and begun anew from its first byte, for good: so what keeps
- * coming in is waited for.
+ * This prevents two failures. A read on a connection that has gone silent would
+ * hide newer records until the read times out. A read with a fixed time limit
+ * would be abandoned with most of its response received if the link is slow,
+ * and would start over from the first byte without end; so a read that keeps
+ * receiving data is never abandoned.
  */
 import type { Result } from "@lentilspur/outcomes/result";
 import type { Clock } from "@lentilspur/ports/clock";
@@ -16,41 +16,41 @@
 
 export class ReadWatchdog {
   readonly #clock: Clock;
-  /** How long a read may stand still once there is news. */
+  /** How long a read may go without data once newer records exist. */
   readonly #stallTimeoutMs: number;
-  readonly #ended = new AbortController();
+  readonly #finished = new AbortController();
   readonly #abandoned: Promise<undefined>;
   #cancel: () => void = () => undefined;
   #hasPendingChange = false;
   #lastDataAtMs: number;
   #receivedBytes = 0;
 
-  constructor(clock: Clock, patienceMs: number) {
+  constructor(clock: Clock, stallTimeoutMs: number) {
     this.#clock = clock;
-    this.#stallTimeoutMs = patienceMs;
+    this.#stallTimeoutMs = stallTimeoutMs;
     this.#lastDataAtMs = clock.readMs();
     this.#abandoned = new Promise((resolve) => {
       this.#cancel = () => resolve(undefined);
     });
   }
 
-  /** Aborted once the read has been given up, or has ended. */
+  /** Aborted once the read has been abandoned or has finished. */
   get signal(): AbortSignal {
-    return this.#ended.signal;
+    return this.#finished.signal;
   }
 
-  /** Bytes of the answer that have come in. */
+  /** Bytes of the response received so far. */
   get receivedBytes(): number {
     return this.#receivedBytes;
   }
 
-  /** A part of the answer has come in. */
+  /** Records that a part of the response has arrived. */
   recordData(bytes: number): void {
     this.#receivedBytes += bytes;
     this.#lastDataAtMs = this.#clock.readMs();
   }
 
-  /** There is something newer than what is known here. */
+  /** Records that the store has newer records than are known here. */
   recordPendingChange(): void {
     if (!this.#hasPendingChange) {
       this.#hasPendingChange = true;
@@ -58,17 +58,17 @@
     }
   }
 
-  /** The read's outcome; undefined where it was given up. */
+  /** Returns the result of the read; undefined if it was abandoned. */
   async wait(reading: Promise<Read>): Promise<Read | undefined> {
     const read = await Promise.race([reading, this.#abandoned]);
-    this.#ended.abort();
+    this.#finished.abort();
     return read;
   }
 
   async #watchForStall(): Promise<void> {
-    const newsAtMs = this.#clock.readMs();
+    const changeAtMs = this.#clock.readMs();
     while (!this.signal.aborted) {
-      const sinceMs = Math.max(newsAtMs, this.#lastDataAtMs);
+      const sinceMs = Math.max(changeAtMs, this.#lastDataAtMs);
       const leftMs = sinceMs + this.#stallTimeoutMs - this.#clock.readMs();
       if (leftMs <= 0) {
         this.#cancel();
--- a/packages/gateway/src/views/store_views.ts
+++ b/packages/gateway/src/views/store_views.ts
@@ -1,4 +1,7 @@
-/** Follows everything in the store that an instance routes by. */
+/**
+ * Follows the partitions of the store that an instance routes by:
+ * configuration, targets, members and ownership table.
+ */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Partition, Store } from "@lentilspur/ports/store";
 import {
@@ -28,76 +31,95 @@
   readonly members: Members;
   readonly duties: Duties;
   readonly onConfiguration: () => void;
-  /** Whether this instance keeps a partition of owners, or is about to. */
+  /**
+   * Whether this instance is the keeper of a partition of the ownership table,
+   * or is about to become its keeper.
+   */
   readonly isKeeper: (part: number) => boolean;
-  readonly onTargetsRead: (slice: RecordBatch) => void;
-  readonly onConfigurationRead: (slice: RecordBatch) => void;
-  /** Tables up to `end` were missed, which the keeper has. */
+  readonly onTargetsRead: (batch: RecordBatch) => void;
+  readonly onConfigurationRead: (batch: RecordBatch) => void;
+  /** Fetches from the keeper the tables up to `end`, which were missed here. */
   readonly fetchTable: (part: number, keeper: string, end: number) => void;
   readonly observe: (event: PartitionViewEvent) => void;
   readonly reportFault: (message: string) => void;
 }
 
 /**
- * Changes come seldom, so the store holds the read open. Connections may go
- * silent at all instances at once, and nothing shows it but the end of a read.
- * So one of those that follow the configuration ends its read after this, the
- * next after twice as long: whoever finds a change tells the others, and an
- * instance whose connections fail has 3 s of grace.
+ * Keeper candidates follow the configuration for all instances. Changes are
+ * rare, so the store holds their reads open. Connections of all instances may
+ * go silent at once, which only the end of a read reveals. So the reads of the
+ * candidates end one after another: those of the first after this time, those
+ * of the second after twice as long, and so on. The first candidate that finds
+ * a change passes it on, and an instance whose connections fail has 3 s to
+ * recover.
  */
 const CONFIGURATION_WAIT_MS = 1_800;
 /**
- * Those that follow the configuration say twice a second which version they
- * have. Whoever hears none of them for this long follows it itself, and has a
- * change in force well within 2 s.
+ * Keeper candidates report twice a second up to where they have read the
+ * configuration. An instance that receives no such report for this long reads
+ * the configuration itself, and puts a change in force well within 2 s.
+ */
+const CONFIGURATION_PEER_DATA_TTL_MS = 1_000;
+/**
+ * A keeper's own appends confirm that no other instance has claimed its
+ * partition. After this time without an append the keeper reads; without either
+ * for 2 s it may not act.
+ */
+const KEEPER_PEER_DATA_TTL_MS = 700;
+/**
+ * An instance announces itself when it starts; a read finds those whose
+ * announcements were lost.
+ */
+const MEMBERS_PEER_DATA_TTL_MS = 60_000;
+/** Lets a few calls read a burst of changes that are 60 ms apart. */
+const CONFIGURATION_POLL_DELAY_MS = 120;
+/**
+ * A leaving target must be seen well within 2 s. These reads do not wait at the
+ * store for a record: the age of their result counts from the time at which
+ * they were sent, so after a wait the instances that receive it from the reader
+ * would treat it as too old.
+ */
+const TARGETS_POLL_DELAY_MS = 750;
+/**
+ * Longer than one poll of the reader: if the reader misses one, other instances
+ * read.
  */
-const CONFIGURATION_VALID_MS = 1_000;
+const TARGETS_PEER_DATA_TTL_MS = 1_000;
 /**
- * A keeper's own appends confirm that no other has claimed. Without one for this
- * long it reads: without either for 2 s it may not act.
+ * Shorter than `TARGETS_PEER_DATA_TTL_MS` so that the local reader of each data
+ * centre reads before the other instances there, and for all of them.
  */
-const KEEPER_VALID_MS = 700;
-/** An instance that has started tells the others; a read finds who could not. */
-const MEMBERS_VALID_MS = 60_000;
-/** A storm of changes every 60 ms is read in a few calls. */
-const CONFIGURATION_GAP_MS = 120;
+const LOCAL_READER_PEER_DATA_TTL_MS = 900;
+/** Members are used for hints only. */
+const MEMBERS_POLL_DELAY_MS = 500;
+/** A keeper appends its own records in quick succession. */
+const KEEPER_POLL_DELAY_MS = 10;
+/** Minimum time between two reads of a table that no peer reports on. */
+const OWNERS_POLL_DELAY_MS = 400;
 /**
- * A leaving target must be seen well within 2 s. No read waits at the store for a
- * record: what it says is good from when it was sent, so that those that it is
- * passed on to would hold it for too old.
+ * A table that its keeper has confirmed within this time is current, so a
+ * request that misses its owner does not cause another read. Keepers confirm
+ * every 500 ms.
  */
-const TARGETS_GAP_MS = 750;
-/** The instance that reads for others is silent for one read: it is replaced. */
-const TARGETS_VALID_MS = 1_000;
-/** In each data centre one reads before the others do, and for all of them. */
-const LOCAL_READER_VALID_MS = 900;
-/** Members matter for hints only. */
-const MEMBERS_GAP_MS = 500;
-/** A keeper's own records come in quick succession. */
-const KEEPER_GAP_MS = 10;
-/** Where nobody tells of a table, it is read at most this often. */
-const OWNERS_GAP_MS = 400;
+const OWNERS_FRESH_MS = 700;
+/** Maximum time that records sent by a peer take to arrive. */
+const MAX_ARRIVAL_DELAY_MS = 150;
 /**
- * A table that its keeper has confirmed within this is current: a request that
- * misses its owner gains nothing by another read. Keepers confirm every 500 ms.
+ * Keepers send what they write. A lost datagram is detected when the next one
+ * arrives, when a target refuses a request, or after this time.
  */
-const OWNERS_CURRENT_MS = 700;
-/** What others have written or read is on its way here for this long at most. */
-const ARRIVAL_MS = 150;
+const OWNERS_PEER_DATA_TTL_MS = 5_000;
+/** Maximum backoff where a change must be in force 2 s after an outage. */
+const URGENT_MAX_BACKOFF_MS = 400;
 /**
- * Keepers tell of what they write; a datagram that was lost shows by the next
- * one, by a target that refuses, or after this.
+ * Maximum backoff during an outage for records that peers send as well or that
+ * serve only as hints: calls that fail have a cost, too.
  */
-const OWNERS_VALID_MS = 5_000;
-/** In an outage: a change must be in force 2 s after the store is back. */
-const URGENT_PAUSE_MS = 400;
+const DEFAULT_MAX_BACKOFF_MS = 1_600;
 /**
- * What others tell as well, or what serves as a hint only, is not asked for more
- * often than this in an outage: calls that fail have their price, too.
+ * An entry that disappears this soon after an outage may have expired in it.
  */
-const OTHER_PAUSE_MS = 1_600;
-/** An entry that goes this soon after an outage may only have lapsed in it. */
-const OUTAGE_MEMORY_MS = 3_000;
+const POST_OUTAGE_MS = 3_000;
 
 export class StoreViews {
   readonly #options: StoreViewsOptions;
@@ -114,36 +136,36 @@
     this.#configuration = this.#createView(
       configuration,
       () => ({
-        pollDelayMs: CONFIGURATION_GAP_MS,
+        pollDelayMs: CONFIGURATION_POLL_DELAY_MS,
         waitMs: this.#computeConfigurationWaitMs(),
         peerDataTtlMs: this.#options.duties.isCandidate()
           ? 0
-          : CONFIGURATION_VALID_MS,
+          : CONFIGURATION_PEER_DATA_TTL_MS,
         maxBackoffMs: this.#options.duties.isCandidate()
-          ? URGENT_PAUSE_MS
-          : OTHER_PAUSE_MS,
+          ? URGENT_MAX_BACKOFF_MS
+          : DEFAULT_MAX_BACKOFF_MS,
       }),
       (key, value) => this.#applyOperatorRecord(key, value),
       {
         isNewestOnly: true,
-        onRead: (slice) => this.#options.onConfigurationRead(slice),
+        onRead: (batch) => this.#options.onConfigurationRead(batch),
       },
     );
     this.#targets = this.#createView(
       targets,
       () => this.#getTargetsPolicy(),
-      (key, value) => this.#applyTarget(key, value),
-      { onRead: (slice) => this.#options.onTargetsRead(slice) },
+      (key, value) => this.#applyTargetRecord(key, value),
+      { onRead: (batch) => this.#options.onTargetsRead(batch) },
     );
     this.#members = this.#createView(
       members,
       () => ({
-        pollDelayMs: MEMBERS_GAP_MS,
+        pollDelayMs: MEMBERS_POLL_DELAY_MS,
         waitMs: 0,
-        peerDataTtlMs: MEMBERS_VALID_MS,
-        maxBackoffMs: OTHER_PAUSE_MS,
+        peerDataTtlMs: MEMBERS_PEER_DATA_TTL_MS,
+        maxBackoffMs: DEFAULT_MAX_BACKOFF_MS,
       }),
-      (key, value, offset) => this.#applyMember(key, value, offset),
+      (key, value, offset) => this.#applyMemberRecord(key, value, offset),
     );
   }
 
@@ -167,67 +189,83 @@
     return this.#configuration;
   }
 
-  /** Whether the store does not answer what everybody is to know. */
+  /** Whether reads of the configuration or of the targets fail at present. */
   get hasLostStore(): boolean {
     return this.#configuration.hasLostStore || this.#targets.hasLostStore;
   }
 
-  /** Up to where the configuration and what stands beside it has been read. */
+  /**
+   * Up to which offset the configuration partition, including evacuations, has
+   * been read.
+   */
   get configurationEnd(): number {
     return this.#configuration.end;
   }
 
   /**
-   * Another instance has read the configuration up to here. `isNewest`: it reads
-   * each change at once, so that nothing newer is to be read here either.
+   * Applies a peer's report of how far it has read the configuration.
+   * `isNewest` means that the peer reads each change immediately, so that an
+   * equal end confirms the state here.
    */
   applyConfigurationEnd(end: number, isNewest: boolean): void {
     const known = this.#configuration.end;
     if (end > known) {
-      const read = () => this.#configuration.scheduleRead();
-      void this.#readIfMissing(this.#configuration, end, read);
+      const scheduleRead = () => this.#configuration.scheduleRead();
+      void this.#readIfMissing(this.#configuration, end, scheduleRead);
     } else if (end === known && isNewest) {
       this.#configuration.recordPeerConfirmation(this.#options.clock.readMs());
     }
   }
 
-  /** What has been passed on may be on its way still. */
+  /**
+   * Schedules a read if the records do not arrive from a peer within
+   * `MAX_ARRIVAL_DELAY_MS`.
+   */
   async #readIfMissing(
-    tail: PartitionView,
+    view: PartitionView,
     end: number,
-    read: () => void,
+    scheduleRead: () => void,
   ): Promise<void> {
-    await this.#options.clock.sleep(ARRIVAL_MS, this.#signal);
-    if (tail.end < end) {
-      read();
+    await this.#options.clock.sleep(MAX_ARRIVAL_DELAY_MS, this.#signal);
+    if (view.end < end) {
+      scheduleRead();
     }
   }
 
-  /** An instance is heard of that no record here names. */
+  /**
+   * Requests a read of the members, because an unknown instance has sent a
+   * message.
+   */
   scheduleMembersRead(): void {
     this.#members.scheduleRead();
   }
 
-  /** The keeper of a partition of owners says where it ends. */
+  /**
+   * Applies the end of a partition of the ownership table as reported by its
+   * keeper.
+   */
   applyOwnersEnd(part: number, end: number, keeper: string): void {
-    const tail = this.#owners.get(part);
-    if (tail === undefined || this.#options.isKeeper(part)) {
+    const view = this.#owners.get(part);
+    if (view === undefined || this.#options.isKeeper(part)) {
       return;
     }
-    if (end <= tail.end) {
-      tail.recordPeerConfirmation(this.#options.clock.readMs());
+    if (end <= view.end) {
+      view.recordPeerConfirmation(this.#options.clock.readMs());
       return;
     }
     const fetch = () => this.#options.fetchTable(part, keeper, end);
-    void this.#readIfMissing(tail, end, fetch);
+    void this.#readIfMissing(view, end, fetch);
   }
 
-  /** A request did not find its owner where the table says. */
+  /**
+   * Requests a read of the table unless it is current, because a target did not
+   * own the key of a request.
+   */
   handleOwnerMiss(part: number): void {
-    const tail = this.#owners.get(part);
-    const currentAtMs = tail?.currentAsOfMs ?? -Infinity;
-    if (this.#options.clock.readMs() - currentAtMs > OWNERS_CURRENT_MS) {
-      tail?.scheduleRead();
+    const view = this.#owners.get(part);
+    const currentAsOfMs = view?.currentAsOfMs ?? -Infinity;
+    if (this.#options.clock.readMs() - currentAsOfMs > OWNERS_FRESH_MS) {
+      view?.scheduleRead();
     }
   }
 
@@ -235,64 +273,64 @@
     return this.#owners.get(part);
   }
 
-  /** Follows a partition of the table of owners from now on. */
+  /** Starts to follow a partition of the ownership table. */
   startOwnersView(part: number): void {
     if (this.#owners.has(part)) {
       return;
     }
     const { topic } = this.#options.storeLayout.owners;
-    const tail = this.#createView(
+    const view = this.#createView(
       { topic, part },
       () => this.#getOwnersPolicy(part),
-      (key, value, offset) => this.#applyOwners(key, value, offset),
+      (key, value, offset) => this.#applyOwnersRecord(key, value, offset),
     );
-    this.#owners.set(part, tail);
-    void tail.run(this.#signal);
+    this.#owners.set(part, view);
+    void view.run(this.#signal);
   }
 
-  /** Of those that follow it, one begins a read anew each time. */
+  /** Staggers the reads of the candidates, so that they end one by one. */
   #computeConfigurationWaitMs(): number {
-    const before = this.#options.duties.findCandidateRank() ?? 0;
-    return CONFIGURATION_WAIT_MS * (1 + before);
+    const rank = this.#options.duties.findCandidateRank() ?? 0;
+    return CONFIGURATION_WAIT_MS * (1 + rank);
   }
 
   #getTargetsPolicy(): PollingPolicy {
     const { duties } = this.#options;
     const isReader = duties.isReader();
-    const validMs = isReader
+    const peerDataTtlMs = isReader
       ? 0
       : duties.isLocalReader()
-      ? LOCAL_READER_VALID_MS
-      : TARGETS_VALID_MS;
+      ? LOCAL_READER_PEER_DATA_TTL_MS
+      : TARGETS_PEER_DATA_TTL_MS;
     return {
-      pollDelayMs: TARGETS_GAP_MS,
+      pollDelayMs: TARGETS_POLL_DELAY_MS,
       waitMs: 0,
-      peerDataTtlMs: validMs,
-      maxBackoffMs: isReader ? URGENT_PAUSE_MS : OTHER_PAUSE_MS,
+      peerDataTtlMs,
+      maxBackoffMs: isReader ? URGENT_MAX_BACKOFF_MS : DEFAULT_MAX_BACKOFF_MS,
     };
   }
 
   #getOwnersPolicy(part: number): PollingPolicy {
     return this.#options.isKeeper(part)
       ? {
-        pollDelayMs: KEEPER_GAP_MS,
+        pollDelayMs: KEEPER_POLL_DELAY_MS,
         waitMs: 0,
-        peerDataTtlMs: KEEPER_VALID_MS,
-        maxBackoffMs: URGENT_PAUSE_MS,
+        peerDataTtlMs: KEEPER_PEER_DATA_TTL_MS,
+        maxBackoffMs: URGENT_MAX_BACKOFF_MS,
       }
       : {
-        pollDelayMs: OWNERS_GAP_MS,
+        pollDelayMs: OWNERS_POLL_DELAY_MS,
         waitMs: 0,
-        peerDataTtlMs: OWNERS_VALID_MS,
-        maxBackoffMs: OTHER_PAUSE_MS,
+        peerDataTtlMs: OWNERS_PEER_DATA_TTL_MS,
+        maxBackoffMs: DEFAULT_MAX_BACKOFF_MS,
       };
   }
 
   #createView(
     partition: Partition,
-    getPace: () => PollingPolicy,
+    getPollingPolicy: () => PollingPolicy,
     apply: (key: string, value: string, offset: number) => void,
-    more: Pick<PartitionViewOptions, "isNewestOnly" | "onRead"> = {},
+    extraOptions: Pick<PartitionViewOptions, "isNewestOnly" | "onRead"> = {},
   ): PartitionView {
     const { clock, store, observe } = this.#options;
     const { topic, part } = partition;
@@ -300,16 +338,17 @@
       clock,
       store,
       partition: { topic, part },
-      getPollingPolicy: getPace,
+      getPollingPolicy,
       apply: ({ key, value, offset }) => apply(key, value, offset),
       observe,
-      ...more,
+      ...extraOptions,
     });
   }
 
   #applyOperatorRecord(key: string, value: string): void {
-    const { storeLayout: places, catalogue, onConfiguration } = this.#options;
-    const { key: configurationKey, evacuationPrefix } = places.configuration;
+    const { storeLayout, catalogue, onConfiguration } = this.#options;
+    const { key: configurationKey, evacuationPrefix } =
+      storeLayout.configuration;
     if (key.startsWith(evacuationPrefix)) {
       this.#applyEvacuation(key.slice(evacuationPrefix.length), value !== "");
       return;
@@ -328,37 +367,39 @@
     if (
       isEvacuated && this.isLoaded && !catalogue.hasTargetsIn(dataCentre)
     ) {
-      reportFault(`No target stands in data centre "${dataCentre}"`);
+      reportFault(
+        `No known target is in the evacuated data centre "${dataCentre}"; check its name`,
+      );
     }
   }
 
-  #applyTarget(id: string, value: string): void {
+  #applyTargetRecord(id: string, value: string): void {
     const { clock, catalogue } = this.#options;
     const nowMs = clock.readMs();
     const sinceOutageMs = nowMs - this.#targets.regainedAtMs;
     const graceMs = Math.max(
       0,
-      sinceOutageMs < OUTAGE_MEMORY_MS
+      sinceOutageMs < POST_OUTAGE_MS
         ? EXPIRED_ENTRY_GRACE_MS - sinceOutageMs
         : 0,
     );
     catalogue.applyTarget(id, value, { nowMs, graceMs });
   }
 
-  #applyMember(key: string, value: string, offset: number): void {
+  #applyMemberRecord(key: string, value: string, offset: number): void {
     const { members, clock } = this.#options;
     if (!members.apply(key, value, { offset, nowMs: clock.readMs() })) {
-      this.#options.reportFault(`Unreadable record of member "${key}"`);
+      this.#options.reportFault(`Cannot decode the record of member "${key}"`);
     }
   }
 
-  #applyOwners(key: string, value: string, offset: number): void {
+  #applyOwnersRecord(key: string, value: string, offset: number): void {
     if (key === KEEPER_KEY || key === WITNESSES_KEY || value === "") {
       return;
     }
     const { directory, reportFault } = this.#options;
     if (!key.startsWith(TABLE_PREFIX)) {
-      reportFault(`Unknown record "${key}" among the owners`);
+      reportFault(`Unknown key "${key}" in a partition of the ownership table`);
       return;
     }
     const service = key.slice(TABLE_PREFIX.length);
@@ -367,7 +408,7 @@
       nowMs: this.#options.clock.readMs(),
     });
     if (fault !== undefined) {
-      reportFault(`Owners of service "${service}": ${fault}`);
+      reportFault(`Invalid ownership table of service "${service}": ${fault}`);
     }
   }
 }
--- a/packages/gateway/src/views/store_views_test.ts
+++ b/packages/gateway/src/views/store_views_test.ts
@@ -25,7 +25,7 @@
 } from "../members/members.ts";
 import { StoreViews } from "./store_views.ts";
 
-const PLACES: StoreLayout = {
+const STORE_LAYOUT: StoreLayout = {
   configuration: {
     topic: "configuration",
     part: 0,
@@ -40,17 +40,22 @@
 const OWNERS_PART = 3;
 /** A link of 7 Mbit/s. */
 const SLOW_LINK_BYTES_PER_MS = 875;
-/** Some hundred routes. */
+/** A few hundred routes. */
 const LARGE_CONFIGURATION_BYTES = 216_000;
-/** A change must be in force this long after the store is back. */
-const APPLY_MS = 2_000;
+/** A change must be in force this long after the end of an outage. */
+const MAX_APPLY_MS = 2_000;
 
-/** Whoever tells of a version is heard before it has come in pieces. */
-const ON_ITS_WAY_MS = 60;
-/** A call that nothing answers fails this long after the time that it may wait. */
+/**
+ * Delay of forwarded records: a peer's report of a version arrives before its
+ * fragments do.
+ */
+const FORWARD_DELAY_MS = 60;
+/** A call that gets no response fails this long after its `waitMs`. */
 const CALL_TIMEOUT_MS = 700;
-/** An instance whose connections fell silent has to be right this long after. */
-const GRACE_MS = 3_000;
+/**
+ * An instance must have recovered this long after its connections fell silent.
+ */
+const RECOVERY_MS = 3_000;
 
 function createTarget(dataCentre: string): RoutingTarget {
   return {
@@ -65,35 +70,38 @@
   };
 }
 
-/** What a weak instance among many strong ones reads; the others are played. */
-class Reader {
+/**
+ * Runs the views of a weak instance among many strong ones, which are
+ * simulated.
+ */
+class StoreViewsSimulation {
   readonly clock = new VirtualClock();
   readonly store = new FakeStore(this.clock, 8);
   readonly reads: string[] = [];
   readonly views: StoreViews;
   readonly #catalogue: Catalogue;
   readonly #members: Members;
-  readonly #others: readonly Member[];
+  readonly #peers: readonly Member[];
   version = 1;
   #configurationEnd = 0;
-  /** Whether reads that begin now are on a connection that has fallen silent. */
+  /** Whether reads that start now use a connection that has gone silent. */
   isSilent = false;
 
-  constructor({ others = 20, reportFault = assert.fail }: {
-    readonly others?: number;
+  constructor({ peers = 20, reportFault = assert.fail }: {
+    readonly peers?: number;
     readonly reportFault?: (message: string) => void;
   } = {}) {
     this.write();
     for (const dataCentre of DATA_CENTRES) {
       const target = createTarget(dataCentre);
-      this.store.write(PLACES.targets, target.id, JSON.stringify(target));
+      this.store.write(STORE_LAYOUT.targets, target.id, JSON.stringify(target));
     }
     const self = createMember("weak", { cores: 0.27 });
-    this.#others = Array.from(
-      { length: others },
+    this.#peers = Array.from(
+      { length: peers },
       (_, index) => createMember(`strong-${index}`, { cores: 1.35 }),
     );
-    this.#members = createMembers(self, this.#others, 0);
+    this.#members = createMembers(self, this.#peers, 0);
     this.#catalogue = new Catalogue({
       decodeConfiguration: (text) => Ok(JSON.parse(text) as RoutingTable),
       decodeTarget: (_id, text) => Ok(JSON.parse(text) as RoutingTarget),
@@ -112,7 +120,7 @@
         ...client,
         read: (request) => this.#read(client, request),
       },
-      storeLayout: PLACES,
+      storeLayout: STORE_LAYOUT,
       catalogue: this.#catalogue,
       directory: new KeyDirectory(),
       members: this.#members,
@@ -125,8 +133,12 @@
       observe: () => undefined,
       reportFault,
     }, new AbortController().signal);
-    for (const one of this.#others) {
-      this.store.write(PLACES.members, one.instance, serializeMember(one));
+    for (const one of this.#peers) {
+      this.store.write(
+        STORE_LAYOUT.members,
+        one.instance,
+        serializeMember(one),
+      );
     }
     this.views.start();
     this.views.startOwnersView(OWNERS_PART);
@@ -136,20 +148,24 @@
     return this.#catalogue.table?.version ?? 0;
   }
 
-  /** Operators publish the configuration in its present version. */
+  /** Publishes the configuration in its current version, as operators do. */
   write(padding = ""): void {
     const { version } = this;
     const table = { version, routes: [], services: {}, limits: {}, padding };
-    this.store.write(PLACES.configuration, "newest", JSON.stringify(table));
+    this.store.write(
+      STORE_LAYOUT.configuration,
+      "newest",
+      JSON.stringify(table),
+    );
     this.#configurationEnd++;
   }
 
-  /** Another instance passes on the newest record. */
+  /** Simulates another instance that passes on the newest record. */
   forwardNewest(): void {
     const base = this.#configurationEnd - 1;
-    const records = this.store.listRecords(PLACES.configuration)
+    const records = this.store.listRecords(STORE_LAYOUT.configuration)
       .filter(({ offset }) => offset === base);
-    void this.clock.sleep(ON_ITS_WAY_MS).then(() =>
+    void this.clock.sleep(FORWARD_DELAY_MS).then(() =>
       this.views.configurationView.applyBatch({
         base,
         end: base + 1,
@@ -160,10 +176,14 @@
     );
   }
 
-  /** Operators evacuate a data centre, or restore it. */
+  /** Evacuates a data centre or restores it, as operators do. */
   writeEvacuation(dataCentre: string, isEvacuated: boolean): void {
     const value = isEvacuated ? "{}" : "";
-    this.store.write(PLACES.configuration, `evacuate/${dataCentre}`, value);
+    this.store.write(
+      STORE_LAYOUT.configuration,
+      `evacuate/${dataCentre}`,
+      value,
+    );
     this.#configurationEnd++;
   }
 
@@ -171,7 +191,10 @@
     return this.#catalogue.listEvacuated();
   }
 
-  /** The others say what they have every so often; some time passes. */
+  /**
+   * Advances the clock while the other instances report their state every
+   * `everyMs`.
+   */
   async advance(
     ms: number,
     { ownersEnd, everyMs = 500 }: {
@@ -180,7 +203,7 @@
     },
   ): Promise<void> {
     for (let spentMs = 0; spentMs < ms; spentMs += everyMs) {
-      for (const { instance } of this.#others) {
+      for (const { instance } of this.#peers) {
         this.#members.recordStoreStatus(instance, false, this.clock.readMs());
       }
       this.views.applyConfigurationEnd(this.#configurationEnd, true);
@@ -202,184 +225,187 @@
       return await client.read(request);
     }
     await this.clock.sleep(request.waitMs + CALL_TIMEOUT_MS);
-    return Err({ kind: "unavailable", message: "No answer" });
+    return Err({ kind: "unavailable", message: "no answer" });
   }
 }
 
-test("an instance that hears which version is in force does not read", async () => {
-  // 200 instances that each hold a read open make 55 calls a second for nothing.
-  const reader = new Reader();
-  await reader.advance(2_000, { ownersEnd: 0 });
-  assert.equal(reader.inForce, 1);
-  reader.reads.length = 0;
-  await reader.advance(10_000, { ownersEnd: 0 });
-  assert.equal(reader.countReads("configuration"), 0);
-  assert.equal(reader.countReads("members"), 0);
+test("an instance that receives reports of the version in force does not read", async () => {
+  // If each of 200 instances held a read open, they would make 55 calls a
+  // second for nothing.
+  const simulation = new StoreViewsSimulation();
+  await simulation.advance(2_000, { ownersEnd: 0 });
+  assert.equal(simulation.inForce, 1);
+  simulation.reads.length = 0;
+  await simulation.advance(10_000, { ownersEnd: 0 });
+  assert.equal(simulation.countReads("configuration"), 0);
+  assert.equal(simulation.countReads("members"), 0);
 });
 
-test("a version that others have in force is read once, at once", async () => {
-  const reader = new Reader();
-  await reader.advance(3_000, { ownersEnd: 0 });
-  reader.reads.length = 0;
-  reader.version = 2;
-  reader.write();
-  await reader.advance(500, { ownersEnd: 0 });
-  assert.equal(reader.inForce, 2);
-  await reader.advance(5_000, { ownersEnd: 0 });
-  // The one that gives it, and none held open after it.
-  assert.equal(reader.countReads("configuration"), 1);
+test("a version that peers have in force is read once, immediately", async () => {
+  const simulation = new StoreViewsSimulation();
+  await simulation.advance(3_000, { ownersEnd: 0 });
+  simulation.reads.length = 0;
+  simulation.version = 2;
+  simulation.write();
+  await simulation.advance(500, { ownersEnd: 0 });
+  assert.equal(simulation.inForce, 2);
+  await simulation.advance(5_000, { ownersEnd: 0 });
+  // One read returns the new version, and none is held open after it.
+  assert.equal(simulation.countReads("configuration"), 1);
 });
 
-test("a version that is passed on is not read", async () => {
-  const reader = new Reader();
-  await reader.advance(3_000, { ownersEnd: 0 });
-  reader.reads.length = 0;
-  reader.version = 2;
-  reader.write();
-  reader.forwardNewest();
-  await reader.advance(1_000, { ownersEnd: 0 });
-  assert.equal(reader.inForce, 2);
-  assert.equal(reader.countReads("configuration"), 0);
+test("a version that a peer passes on is not read", async () => {
+  const simulation = new StoreViewsSimulation();
+  await simulation.advance(3_000, { ownersEnd: 0 });
+  simulation.reads.length = 0;
+  simulation.version = 2;
+  simulation.write();
+  simulation.forwardNewest();
+  await simulation.advance(1_000, { ownersEnd: 0 });
+  assert.equal(simulation.inForce, 2);
+  assert.equal(simulation.countReads("configuration"), 0);
 });
 
-test("an instance that hears nobody follows the configuration itself", async () => {
-  // Its datagrams are lost, its path to the store is whole. A change must be in
-  // force within 2 s all the same.
-  const reader = new Reader();
-  await reader.advance(3_000, { ownersEnd: 0 });
-  await reader.clock.advance(400);
-  reader.version = 2;
-  reader.write();
-  await reader.clock.advance(1_000);
-  assert.equal(reader.inForce, 2);
+test("an instance that receives no reports reads the configuration itself", async () => {
+  // The instance receives no datagrams, but it can reach the store. A change
+  // must still be in force within 2 s.
+  const simulation = new StoreViewsSimulation();
+  await simulation.advance(3_000, { ownersEnd: 0 });
+  await simulation.clock.advance(400);
+  simulation.version = 2;
+  simulation.write();
+  await simulation.clock.advance(1_000);
+  assert.equal(simulation.inForce, 2);
 });
 
-test("an evacuation is in force, and taken back, as soon as others tell of it", async () => {
-  const reader = new Reader();
-  await reader.advance(3_000, { ownersEnd: 0 });
-  reader.writeEvacuation("kirkos", true);
-  reader.writeEvacuation("yeka", true);
-  await reader.advance(500, { ownersEnd: 0 });
-  assert.deepEqual(reader.evacuated, ["kirkos", "yeka"]);
-  reader.writeEvacuation("kirkos", false);
-  await reader.advance(500, { ownersEnd: 0 });
-  assert.deepEqual(reader.evacuated, ["yeka"]);
-  reader.writeEvacuation("kirkos", true);
-  await reader.advance(500, { ownersEnd: 0 });
-  assert.deepEqual(reader.evacuated, ["kirkos", "yeka"]);
+test("an evacuation starts and ends as soon as peers report it", async () => {
+  const simulation = new StoreViewsSimulation();
+  await simulation.advance(3_000, { ownersEnd: 0 });
+  simulation.writeEvacuation("kirkos", true);
+  simulation.writeEvacuation("yeka", true);
+  await simulation.advance(500, { ownersEnd: 0 });
+  assert.deepEqual(simulation.evacuated, ["kirkos", "yeka"]);
+  simulation.writeEvacuation("kirkos", false);
+  await simulation.advance(500, { ownersEnd: 0 });
+  assert.deepEqual(simulation.evacuated, ["yeka"]);
+  simulation.writeEvacuation("kirkos", true);
+  await simulation.advance(500, { ownersEnd: 0 });
+  assert.deepEqual(simulation.evacuated, ["kirkos", "yeka"]);
 });
 
-test("an evacuation of a data centre without targets is a logged fault", async () => {
+test("an evacuation of a data centre without targets is reported as a fault", async () => {
   const faults: string[] = [];
-  const reader = new Reader({ reportFault: (fault) => faults.push(fault) });
-  await reader.advance(3_000, { ownersEnd: 0 });
-  reader.writeEvacuation("kirkos", true);
-  reader.writeEvacuation("kikros", true);
-  await reader.advance(1_000, { ownersEnd: 0 });
-  assert.deepEqual(faults, ['No target stands in data centre "kikros"']);
-  reader.writeEvacuation("kikros", false);
-  await reader.advance(1_000, { ownersEnd: 0 });
-  assert.deepEqual(reader.evacuated, ["kirkos"]);
+  const simulation = new StoreViewsSimulation({
+    reportFault: (fault) => faults.push(fault),
+  });
+  await simulation.advance(3_000, { ownersEnd: 0 });
+  simulation.writeEvacuation("kirkos", true);
+  simulation.writeEvacuation("kikros", true);
+  await simulation.advance(1_000, { ownersEnd: 0 });
+  assert.deepEqual(faults, [
+    'No known target is in the evacuated data centre "kikros"; check its name',
+  ]);
+  simulation.writeEvacuation("kikros", false);
+  await simulation.advance(1_000, { ownersEnd: 0 });
+  assert.deepEqual(simulation.evacuated, ["kirkos"]);
 });
 
-test("an instance that was cut off finds the evacuations as they stand", async () => {
-  const reader = new Reader();
-  reader.writeEvacuation("kirkos", true);
-  await reader.advance(3_000, { ownersEnd: 0 });
-  assert.deepEqual(reader.evacuated, ["kirkos"]);
-  reader.store.setFaultMode("weak", "refusing");
-  reader.writeEvacuation("kirkos", false);
-  reader.writeEvacuation("bole", true);
-  await reader.advance(3_000, { ownersEnd: 0 });
+test("an instance that was cut off reads the current evacuations", async () => {
+  const simulation = new StoreViewsSimulation();
+  simulation.writeEvacuation("kirkos", true);
+  await simulation.advance(3_000, { ownersEnd: 0 });
+  assert.deepEqual(simulation.evacuated, ["kirkos"]);
+  simulation.store.setFaultMode("weak", "refusing");
+  simulation.writeEvacuation("kirkos", false);
+  simulation.writeEvacuation("bole", true);
+  await simulation.advance(3_000, { ownersEnd: 0 });
   assert.deepEqual(
-    reader.evacuated,
+    simulation.evacuated,
     ["kirkos"],
-    "kept while the store is away",
+    "evacuations stay in force during an outage of the store",
   );
-  reader.store.setFaultMode("weak", "serving");
-  await reader.advance(APPLY_MS, { ownersEnd: 0, everyMs: 100 });
-  assert.deepEqual(reader.evacuated, ["bole"]);
+  simulation.store.setFaultMode("weak", "serving");
+  await simulation.advance(MAX_APPLY_MS, { ownersEnd: 0, everyMs: 100 });
+  assert.deepEqual(simulation.evacuated, ["bole"]);
 });
 
-test("a request that misses its owner reads only what is old", async () => {
-  // A target has lost its keys and refuses every request for them. Were each to
-  // have the table read, 59 instances made 7,000 calls in 30 s for one that was
-  // current; one that its keeper has not confirmed of late is read.
-  const reader = new Reader();
-  await reader.advance(2_000, { ownersEnd: 0 });
-  reader.reads.length = 0;
+test("a request that misses its owner causes a read only of a stale table", async () => {
+  // A target has lost its keys and refuses every request for them. When each
+  // refusal caused a read, 59 instances made 7,000 calls in 30 s for a current
+  // table. Only a table without a recent confirmation by its keeper is read.
+  const simulation = new StoreViewsSimulation();
+  await simulation.advance(2_000, { ownersEnd: 0 });
+  simulation.reads.length = 0;
   for (let step = 0; step < 10; step++) {
-    reader.views.handleOwnerMiss(OWNERS_PART);
-    await reader.advance(500, { ownersEnd: 0 });
+    simulation.views.handleOwnerMiss(OWNERS_PART);
+    await simulation.advance(500, { ownersEnd: 0 });
   }
-  assert.equal(reader.countReads("owners"), 0);
-  await reader.clock.advance(1_000);
-  reader.views.handleOwnerMiss(OWNERS_PART);
-  await reader.clock.advance(500);
-  assert.equal(reader.countReads("owners"), 1);
+  assert.equal(simulation.countReads("owners"), 0);
+  await simulation.clock.advance(1_000);
+  simulation.views.handleOwnerMiss(OWNERS_PART);
+  await simulation.clock.advance(500);
+  assert.equal(simulation.countReads("owners"), 1);
 });
 
-test("a table that did not arrive is read when its keeper says where it ends", async () => {
-  const reader = new Reader();
-  await reader.advance(2_000, { ownersEnd: 0 });
+test("a table that did not arrive is read when its keeper reports the end", async () => {
+  const simulation = new StoreViewsSimulation();
+  await simulation.advance(2_000, { ownersEnd: 0 });
   const partition = { topic: "owners", part: OWNERS_PART };
-  reader.store.write(partition, "keeper", "{}");
-  reader.reads.length = 0;
-  await reader.advance(500, { ownersEnd: 1 });
-  assert.equal(reader.views.getOwnersView(OWNERS_PART)?.end, 1);
-  assert.equal(reader.countReads("owners"), 1);
+  simulation.store.write(partition, "keeper", "{}");
+  simulation.reads.length = 0;
+  await simulation.advance(500, { ownersEnd: 1 });
+  assert.equal(simulation.views.getOwnersView(OWNERS_PART)?.end, 1);
+  assert.equal(simulation.countReads("owners"), 1);
 });
 
-test("a long answer comes into force while others tell of its version", async () => {
-  // Callers were sent by an old version, or told that there is no route, for
-  // more than 7 s after a change. A partial outage had turned 23 of 76 instances
-  // away while the configuration grew to 216 kB and changed; when it ended, each
-  // of them took in all that its link carries (830 kB/s), and no version came into
-  // force: 0.4 s after others' news a read was given up and begun anew, whatever
-  // had come of it.
-  const reader = await startCutOff({ missed: 3 });
-  await reader.advance(APPLY_MS, { ownersEnd: 0, everyMs: 100 });
-  assert.equal(reader.inForce, reader.version);
+test("a long response is read to its end while peers report its version", async () => {
+  // An outage cut off 23 of 76 instances as the configuration grew to 216 kB.
+  // Later, reads on their saturated links (830 kB/s) restarted 0.4 s after each
+  // report, so that an old version or none was used for more than 7 s.
+  const simulation = await startCutOff({ missed: 3 });
+  await simulation.advance(MAX_APPLY_MS, { ownersEnd: 0, everyMs: 100 });
+  assert.equal(simulation.inForce, simulation.version);
 });
 
-test("of many versions that were missed the newest is in force at once", async () => {
-  // As above, and the configuration changes a dozen times meanwhile: to read
-  // them all takes a link of 7 Mbit/s 3 s, and all but the last are of no use.
-  const reader = await startCutOff({ missed: 12 });
-  await reader.advance(APPLY_MS, { ownersEnd: 0, everyMs: 100 });
-  assert.equal(reader.inForce, reader.version);
+test("of many missed versions the newest is in force within 2 s", async () => {
+  // The configuration changes a dozen times during the outage. Reading all
+  // versions takes 3 s on a link of 7 Mbit/s, and only the newest is needed.
+  const simulation = await startCutOff({ missed: 12 });
+  await simulation.advance(MAX_APPLY_MS, { ownersEnd: 0, everyMs: 100 });
+  assert.equal(simulation.inForce, simulation.version);
 });
 
-test("a change is in force though the read that was to bring it hangs", async () => {
-  // All connections to the store fall silent at once, new ones work, and a change
-  // is accepted right after. Those that follow the configuration had begun their
-  // reads together, with the version before, so that nobody tells of the change;
-  // callers were sent by the old version until the reads' time was over, 4.2 s.
-  const reader = new Reader({ others: 0 });
-  await reader.clock.advance(5_000);
-  reader.reads.length = 0;
-  reader.isSilent = true;
-  while (reader.countReads("configuration") === 0) {
-    await reader.clock.advance(1);
+test("a change is in force in time although reads in flight hang", async () => {
+  // All open connections to the store fall silent just before a change. The
+  // candidates had started their reads together, so no peer reported the
+  // change, and the old version was used until the reads timed out after 4.2 s.
+  const simulation = new StoreViewsSimulation({ peers: 0 });
+  await simulation.clock.advance(5_000);
+  simulation.reads.length = 0;
+  simulation.isSilent = true;
+  while (simulation.countReads("configuration") === 0) {
+    await simulation.clock.advance(1);
   }
-  reader.isSilent = false;
-  reader.version = 2;
-  reader.write();
-  await reader.clock.advance(GRACE_MS);
-  assert.equal(reader.inForce, 2);
+  simulation.isSilent = false;
+  simulation.version = 2;
+  simulation.write();
+  await simulation.clock.advance(RECOVERY_MS);
+  assert.equal(simulation.inForce, 2);
 });
 
-/** An instance on a slow link that the store has just begun to answer again. */
+/**
+ * Starts an instance on a slow link whose outage of the store has just ended.
+ */
 async function startCutOff({ missed }: { readonly missed: number }) {
-  const reader = new Reader();
-  await reader.advance(2_000, { ownersEnd: 0 });
-  reader.store.setLinkRate("weak", SLOW_LINK_BYTES_PER_MS);
-  reader.store.setFaultMode("weak", "refusing");
+  const simulation = new StoreViewsSimulation();
+  await simulation.advance(2_000, { ownersEnd: 0 });
+  simulation.store.setLinkRate("weak", SLOW_LINK_BYTES_PER_MS);
+  simulation.store.setFaultMode("weak", "refusing");
   for (let count = 0; count < missed; count++) {
-    reader.version++;
-    reader.write("x".repeat(LARGE_CONFIGURATION_BYTES));
-    await reader.advance(500, { ownersEnd: 0, everyMs: 100 });
+    simulation.version++;
+    simulation.write("x".repeat(LARGE_CONFIGURATION_BYTES));
+    await simulation.advance(500, { ownersEnd: 0, everyMs: 100 });
   }
-  reader.store.setFaultMode("weak", "serving");
-  return reader;
+  simulation.store.setFaultMode("weak", "serving");
+  return simulation;
 }
--- a/packages/gateway/src/views/table_requests.ts
+++ b/packages/gateway/src/views/table_requests.ts
@@ -1,10 +1,11 @@
 /**
- * Fetches a whole table of owners from its keeper, for an instance that has
- * missed a difference.
+ * Fetches a whole ownership table from its keeper for an instance that has
+ * missed an update of the table, and answers such requests of its peers.
  *
- * Load pattern: the store turns a third of 81 instances away for 9 s, while keys
- * move several times a second. Whoever misses one datagram can read nothing, and
- * sends requests to former owners until the store answers again.
+ * Load pattern: the store refuses the calls of a third of 81 instances for 9 s
+ * while keys move several times a second. An instance that misses one datagram
+ * cannot read the table, and would send requests to former owners until the
+ * store responds again.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { StoreRecord } from "@lentilspur/ports/store";
@@ -29,87 +30,92 @@
   readonly directory: KeyDirectory;
   readonly findMember: (instance: string) => Member | undefined;
   readonly getOwnersView: (part: number) => PartitionView | undefined;
-  /** Up to where the tables of a partition that is kept here go. */
+  /**
+   * Offset up to which the tables of a partition kept by this instance extend;
+   * undefined for other partitions.
+   */
   readonly getTableEnd: (part: number) => number | undefined;
-  /** Services whose tables stand in a partition. */
+  /** Lists the services whose tables are in a partition. */
   readonly listServices: (part: number) => readonly string[];
   readonly send: (to: readonly Member[], message: PeerMessage) => boolean;
 }
 
-/** What an answer holds. */
+/** Content of a response. */
 interface TableResponse {
   readonly table: string;
-  /** The keeper's claim: it may have been missed as well. */
+  /** The keeper's claim, which the receiver may have missed as well. */
   readonly records: readonly StoreRecord[];
 }
 
-/** An answer takes 3 to 40 ms; without one the store is asked. */
+/** A response takes 3 to 40 ms; without a response the store is read. */
 const RESPONSE_TIMEOUT_MS = 250;
 
 export class TableRequests {
   readonly #options: TableRequestsOptions;
-  readonly #joiner = new FragmentAssembler();
-  /** Partitions that were asked for and have not been answered. */
-  readonly #asked = new Set<number>();
+  readonly #assembler = new FragmentAssembler();
+  /** Partitions with a request in flight. */
+  readonly #pendingParts = new Set<number>();
 
   constructor(options: TableRequestsOptions) {
     this.#options = options;
   }
 
-  /** Something up to `end` was missed: the keeper is asked, then the store. */
+  /**
+   * Requests the tables up to `end` from the keeper; if they do not arrive,
+   * schedules a read of the store.
+   */
   async fetch(part: number, keeper: string, end: number): Promise<void> {
-    const { clock, instance, findMember, getOwnersView: getOwnersTail, send } =
-      this.#options;
+    const { clock, instance, findMember, getOwnersView, send } = this.#options;
     const member = findMember(keeper);
-    if (this.#asked.has(part)) {
+    if (this.#pendingParts.has(part)) {
       return;
     }
     if (member !== undefined) {
-      this.#asked.add(part);
+      this.#pendingParts.add(part);
       send([member], { kind: "table-request", from: instance, part });
       await clock.sleep(RESPONSE_TIMEOUT_MS);
-      this.#asked.delete(part);
+      this.#pendingParts.delete(part);
     }
-    const tail = getOwnersTail(part);
-    if (tail !== undefined && tail.end < end) {
-      tail.scheduleRead();
+    const view = getOwnersView(part);
+    if (view !== undefined && view.end < end) {
+      view.scheduleRead();
     }
   }
 
-  /** Another instance asks for the tables of a partition. */
+  /** Answers another instance's request for the tables of a partition. */
   answer({ from, part }: TableRequest): void {
     const { findMember, getTableEnd, listServices } = this.#options;
-    const asker = findMember(from);
+    const requester = findMember(from);
     const end = getTableEnd(part);
-    if (asker === undefined || end === undefined) {
+    if (requester === undefined || end === undefined) {
       return;
     }
     for (const service of listServices(part)) {
-      this.#sendTable(asker, { part, service, offset: end - 1 });
+      this.#sendTable(requester, { part, service, offset: end - 1 });
     }
   }
 
-  apply({ from, part, service, offset, ...piece }: TableMessage): void {
-    const { clock, directory, getOwnersView: getOwnersTail } = this.#options;
-    const tail = getOwnersTail(part);
-    if (tail === undefined || offset < tail.end || !tail.isLoaded) {
+  apply({ from, part, service, offset, ...fragment }: TableMessage): void {
+    const { clock, directory, getOwnersView } = this.#options;
+    const view = getOwnersView(part);
+    if (view === undefined || offset < view.end || !view.isLoaded) {
       return;
     }
-    const packed = this.#joiner.add(`${part} ${from}`, offset, piece);
-    const told = packed === undefined
+    const joined = this.#assembler.add(`${part} ${from}`, offset, fragment);
+    const response = joined === undefined
       ? undefined
-      : toTableResponse(decodeValue(packed));
-    const parsed = told && parseTable(told.table);
-    if (told === undefined || parsed?.ok !== true) {
+      : toTableResponse(decodeValue(joined));
+    const parsed = response && parseTable(response.table);
+    if (response === undefined || parsed?.ok !== true) {
       return;
     }
     directory.setTable(service, parsed.val, { offset, nowMs: clock.readMs() });
-    tail.applyBatch({
-      base: tail.end,
+    view.applyBatch({
+      base: view.end,
       end: offset + 1,
       ageMs: 0,
       sinceOutageMs: null,
-      records: told.records,
+      records: response.records,
     });
   }
 
@@ -120,19 +126,18 @@
       "part" | "service" | "offset"
     >,
   ): void {
-    const { instance: from, directory, getOwnersView: getOwnersTail, send } =
-      this.#options;
+    const { instance: from, directory, getOwnersView, send } = this.#options;
     const table = directory.getTable(service);
-    const claim = getOwnersTail(part)?.getRecord(KEEPER_KEY);
+    const claim = getOwnersView(part)?.getRecord(KEEPER_KEY);
     if (table === undefined || claim === undefined) {
       return;
     }
-    const told: TableResponse = {
+    const response: TableResponse = {
       table: serializeTable(table),
       records: [claim],
     };
-    for (const piece of encodeValue(told) ?? []) {
-      send([to], { kind: "table", from, part, service, offset, ...piece });
+    for (const fragment of encodeValue(response) ?? []) {
+      send([to], { kind: "table", from, part, service, offset, ...fragment });
     }
   }
 }
--- a/packages/gateway/src/views/table_requests_test.ts
+++ b/packages/gateway/src/views/table_requests_test.ts
@@ -17,14 +17,17 @@
 const TABLE_KEY = "table/files";
 const DATAGRAM_MS = 2;
 
-/** A keeper and an instance that follows it, and the datagrams between them. */
-class TableWorld {
+/**
+ * Simulates a keeper, an instance that follows it, and the datagrams between
+ * them.
+ */
+class TableSimulation {
   readonly clock = new VirtualClock();
   readonly store = new FakeStore(this.clock);
-  readonly tails = new Map<string, PartitionView>();
+  readonly views = new Map<string, PartitionView>();
   readonly directories = new Map<string, KeyDirectory>();
   readonly requests = new Map<string, TableRequests>();
-  isKeeperHeard = true;
+  isKeeperReachable = true;
 
   constructor() {
     ["keeper", "follower"].forEach((name) => this.#start(name));
@@ -32,7 +35,7 @@
 
   #start(name: string): void {
     const directory = new KeyDirectory();
-    const tail = new PartitionView({
+    const view = new PartitionView({
       clock: this.clock,
       store: this.store.createClient(name),
       partition: PARTITION,
@@ -50,7 +53,7 @@
       },
       observe: () => undefined,
     });
-    this.tails.set(name, tail);
+    this.views.set(name, view);
     this.directories.set(name, directory);
     this.requests.set(
       name,
@@ -59,19 +62,19 @@
         instance: name,
         directory,
         findMember: (other) => createMember(other),
-        getOwnersView: () => tail,
-        getTableEnd: () => name === "keeper" ? tail.end : undefined,
+        getOwnersView: () => view,
+        getTableEnd: () => name === "keeper" ? view.end : undefined,
         listServices: () => ["files"],
         send: ([to], message) => this.#transfer(to!.instance, message),
       }),
     );
-    void tail.run(new AbortController().signal);
+    void view.run(new AbortController().signal);
   }
 
   #transfer(to: string, message: PeerMessage): boolean {
     assert.ok(JSON.stringify(message).length <= 1_400);
     void this.clock.sleep(DATAGRAM_MS).then(() => {
-      if (!this.isKeeperHeard) {
+      if (!this.isKeeperReachable) {
         return;
       }
       const requests = this.requests.get(to)!;
@@ -85,7 +88,9 @@
   }
 }
 
-/** The follower has missed a claim and a table that moves some keys. */
+/**
+ * Starts a follower that has missed a claim and a table that moves some keys.
+ */
 async function startBehind() {
   const owners = Array.from({ length: 100 }, (_, index) => ({
     id: `target-${index}`,
@@ -94,43 +99,43 @@
   const before = createTable(owners, 1);
   const change = { from: 0, to: 99, owner: owners[7]! };
   const after = applyReassignments(before, [change], 3);
-  const world = new TableWorld();
-  world.store.write(PARTITION, "keeper", "first");
-  world.store.write(PARTITION, TABLE_KEY, serializeTable(before));
-  await world.clock.advance(500);
-  world.store.setFaultMode("follower", "refusing");
-  world.store.write(PARTITION, "keeper", "second");
-  world.store.write(PARTITION, TABLE_KEY, serializeTable(after));
-  await world.clock.advance(500);
-  return { world, after };
+  const simulation = new TableSimulation();
+  simulation.store.write(PARTITION, "keeper", "first");
+  simulation.store.write(PARTITION, TABLE_KEY, serializeTable(before));
+  await simulation.clock.advance(500);
+  simulation.store.setFaultMode("follower", "refusing");
+  simulation.store.write(PARTITION, "keeper", "second");
+  simulation.store.write(PARTITION, TABLE_KEY, serializeTable(after));
+  await simulation.clock.advance(500);
+  return { simulation, after };
 }
 
-test("whoever missed a table gets it from its keeper while the store is away", async () => {
-  const { world, after } = await startBehind();
-  void world.requests.get("follower")!.fetch(0, "keeper", 4);
-  await world.clock.advance(50);
-  const directory = world.directories.get("follower")!;
+test("an instance that missed a table gets it from its keeper during an outage", async () => {
+  const { simulation, after } = await startBehind();
+  void simulation.requests.get("follower")!.fetch(0, "keeper", 4);
+  await simulation.clock.advance(50);
+  const directory = simulation.directories.get("follower")!;
   assert.deepEqual(directory.getTable("files"), after);
-  const tail = world.tails.get("follower")!;
-  assert.equal(tail.end, 4);
-  assert.equal(tail.getRecord("keeper")?.value, "second");
+  const view = simulation.views.get("follower")!;
+  assert.equal(view.end, 4);
+  assert.equal(view.getRecord("keeper")?.value, "second");
 });
 
-test("the store is read where the keeper does not answer", async () => {
-  const { world, after } = await startBehind();
-  world.isKeeperHeard = false;
-  world.store.setFaultMode("follower", "serving");
-  void world.requests.get("follower")!.fetch(0, "keeper", 4);
-  await world.clock.advance(1_000);
-  const directory = world.directories.get("follower")!;
+test("the store is read if the keeper does not answer", async () => {
+  const { simulation, after } = await startBehind();
+  simulation.isKeeperReachable = false;
+  simulation.store.setFaultMode("follower", "serving");
+  void simulation.requests.get("follower")!.fetch(0, "keeper", 4);
+  await simulation.clock.advance(1_000);
+  const directory = simulation.directories.get("follower")!;
   assert.deepEqual(directory.getTable("files"), after);
 });
 
-test("a table that cannot be read changes nothing", async () => {
-  const { world } = await startBehind();
-  const directory = world.directories.get("follower")!;
+test("a table that cannot be decoded is ignored", async () => {
+  const { simulation } = await startBehind();
+  const directory = simulation.directories.get("follower")!;
   const before = directory.getTable("files");
-  world.requests.get("follower")!.apply({
+  simulation.requests.get("follower")!.apply({
     kind: "table",
     from: "keeper",
     part: 0,
@@ -141,5 +146,5 @@
     pieces: 1,
   });
   assert.equal(directory.getTable("files"), before);
-  assert.equal(world.tails.get("follower")!.end, 2);
+  assert.equal(simulation.views.get("follower")!.end, 2);
 });
--- a/packages/gateway/src/views/target_first_seen_times.ts
+++ b/packages/gateway/src/views/target_first_seen_times.ts
@@ -1,4 +1,4 @@
-/** When each life of a target was seen here first. */
+/** Records when this instance first saw each incarnation of a target. */
 import type { TargetIncarnation } from "@lentilspur/routing/target_incarnation";
 
 interface FirstSeen {
@@ -6,24 +6,33 @@
   readonly atMs: number;
 }
 
-/** Ids that are remembered: some days of a fleet with 4,600 restarts a day. */
-const MAX_REMEMBERED = 20_000;
+/**
+ * Number of target ids that are kept: a few days of a fleet with 4,600 restarts
+ * a day.
+ */
+const MAX_TARGET_IDS = 20_000;
 
 export class TargetFirstSeenTimes {
-  /** The newest life of each id. */
+  /** The newest incarnation of each target id. */
   readonly #firstSeen = new Map<string, FirstSeen>();
 
-  /** When the newest life of an id began, as it says. */
+  /** The start time that the newest incarnation of a target id reported. */
   getBornMs(id: string): number | undefined {
     return this.#firstSeen.get(id)?.bornMs;
   }
 
-  /** When the newest life of an id was seen first; own clock. */
+  /**
+   * When the newest incarnation of a target id was first seen, by the local
+   * clock.
+   */
   getNewestFirstSeenMs(id: string): number {
     return this.#firstSeen.get(id)?.atMs ?? -Infinity;
   }
 
-  /** When this life was seen first, if it is the newest of its id; own clock. */
+  /**
+   * When this incarnation was first seen, by the local clock; undefined unless
+   * it is the newest one of its target id.
+   */
   findFirstSeenMs({ id, bornMs }: TargetIncarnation): number | undefined {
     const seen = this.#firstSeen.get(id);
     return seen !== undefined && seen.bornMs === bornMs ? seen.atMs : undefined;
@@ -35,7 +44,7 @@
       this.#firstSeen.delete(id);
       this.#firstSeen.set(id, { bornMs, atMs });
     }
-    if (this.#firstSeen.size > MAX_REMEMBERED) {
+    if (this.#firstSeen.size > MAX_TARGET_IDS) {
       this.#firstSeen.delete(this.#firstSeen.keys().next().value!);
     }
   }
--- a/packages/gateway/src/views/view_relay.ts
+++ b/packages/gateway/src/views/view_relay.ts
@@ -1,14 +1,17 @@
 /**
- * Spares the store most reads: one instance follows the targets' entries and the
- * configuration for all, and the keeper of a partition of owners passes on what it has written.
- * Both tell those that are near and one in each other data centre, which tells
- * the rest there.
+ * Passes on what one instance has read or written, so that its peers need not
+ * read the store. One instance, the reader, reads the targets' entries and the
+ * configuration for all; the keeper of a partition of the ownership table sends
+ * the tables that it writes. Both send to the instances of their own data
+ * centre and to one instance in each other data centre, which forwards the
+ * messages there.
  *
- * Load pattern: every target writes its entry about once a second, and a spell
- * moves keys several times a second. Were every instance to read each of these
- * changes itself, twelve instances would make 48 calls a second, most of what
- * they cost the store. What is passed on counts only if nothing was missed
- * before it; whoever has missed something, or hears nothing, reads itself.
+ * Load pattern: each target writes its entry about once a second, and in busy
+ * periods keys move several times a second. If every instance read each of
+ * these changes itself, twelve instances would make 48 calls a second, which is
+ * most of what they cost the store. Forwarded records are applied only if no
+ * earlier record is missing; an instance that has missed some, or receives
+ * nothing, reads the store itself.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { StoreRecord } from "@lentilspur/ports/store";
@@ -45,9 +48,11 @@
   readonly getTargetsView: () => PartitionView;
   readonly getConfigurationView: () => PartitionView;
   readonly getOwnersView: (part: number) => PartitionView | undefined;
-  /** False where the message is too long for a datagram; nothing is sent then. */
-  /** Tables up to `end` were missed, which the keeper has. */
+  /** Fetches from the keeper the tables up to `end`, which were missed here. */
   readonly fetchTable: (part: number, keeper: string, end: number) => void;
+  /**
+   * Sends a message; false, without sending, if it is too long for a datagram.
+   */
   readonly send: (to: readonly Member[], message: PeerMessage) => boolean;
 }
 
@@ -55,7 +60,7 @@
 export interface WrittenTable {
   readonly part: number;
   readonly service: string;
-  /** Of the record that holds it. */
+  /** Offset of the record that holds the table. */
   readonly offset: number;
   readonly before: KeyTable | undefined;
   readonly after: KeyTable;
@@ -63,18 +68,18 @@
 
 export class ViewRelay {
   readonly #options: ViewRelayOptions;
-  readonly #joiner = new FragmentAssembler();
-  /** As a keeper: where each partition ended after its newest claim or table. */
+  readonly #assembler = new FragmentAssembler();
+  /** By partition kept here: the end of its newest claim or table. */
   readonly #tableEnds = new Map<number, number>();
 
   constructor(options: ViewRelayOptions) {
     this.#options = options;
   }
 
-  /** Passes on what a read of the targets' entries gave. */
+  /** Passes on the targets' entries that a read returned. */
   sendTargets(
-    slice: RecordBatch,
-    isNews: (record: StoreRecord) => boolean,
+    batch: RecordBatch,
+    isChange: (record: StoreRecord) => boolean,
   ): void {
     const { duties, instance: from } = this.#options;
     const receivers = duties.isReader()
@@ -85,13 +90,17 @@
     if (receivers.length === 0) {
       return;
     }
-    // All records of an entry that has any news: an entry may go and come back.
-    const news = new Set(slice.records.filter(isNews).map(({ key }) => key));
-    const records = slice.records.filter(({ key }) => news.has(key));
-    for (const part of splitBatch({ ...slice, records })) {
-      const message: TargetsMessage = { kind: "targets", from, ...part };
+    // Keeps all records of an entry if any of them is a change: an entry may be
+    // removed and written again.
+    const changedKeys = new Set(
+      batch.records.filter(isChange).map(({ key }) => key),
+    );
+    const records = batch.records.filter(({ key }) => changedKeys.has(key));
+    for (const chunk of splitBatch({ ...batch, records })) {
+      const message: TargetsMessage = { kind: "targets", from, ...chunk };
       if (!this.#options.send(receivers, message)) {
-        // Too much for a datagram: without a base, the others read themselves.
+        // Too long for a datagram. A batch without records whose base is the
+        // end makes the receivers read the store.
         const { end } = message;
         this.#options.send(receivers, { ...message, base: end, records: [] });
       }
@@ -103,50 +112,59 @@
     this.#options.getTargetsView().applyBatch(message);
   }
 
-  /** Passes on a change of the configuration, where it fits into datagrams. */
+  /** Passes on a change of the configuration if it fits into datagrams. */
   sendConfiguration({ base, end, records }: RecordBatch): void {
     const { duties, instance: from } = this.#options;
     if (records.length === 0 || !duties.isReader()) {
       return;
     }
-    for (const piece of encodeValue({ base, records }) ?? []) {
-      this.#sendToAll({ kind: "configuration", from, end, ...piece });
+    for (const fragment of encodeValue({ base, records }) ?? []) {
+      this.#sendToAll({ kind: "configuration", from, end, ...fragment });
     }
   }
 
   applyConfiguration(message: ConfigurationMessage): void {
     this.#forward(message);
-    const tail = this.#options.getConfigurationView();
+    const view = this.#options.getConfigurationView();
     const { from, end } = message;
-    if (end <= tail.end) {
+    if (end <= view.end) {
       return;
     }
-    const packed = this.#joiner.add(`configuration of ${from}`, end, message);
-    const slice = packed === undefined
+    const joined = this.#assembler.add(
+      `configuration of ${from}`,
+      end,
+      message,
+    );
+    const batch = joined === undefined
       ? undefined
-      : toBatch(decodeValue(packed));
-    if (slice !== undefined) {
-      tail.applyBatch({ ...slice, end, ageMs: 0, sinceOutageMs: null });
+      : toBatch(decodeValue(joined));
+    if (batch !== undefined) {
+      view.applyBatch({ ...batch, end, ageMs: 0, sinceOutageMs: null });
     }
   }
 
-  /** Tells every instance what this keeper has written, or to read it itself. */
+  /**
+   * Sends a newly written table to all instances, as the difference to the
+   * previous table. A difference that is too long is sent without its content,
+   * so that the receivers fetch the table.
+   */
   sendTable(written: WrittenTable): void {
     const { part, service, offset, before, after } = written;
     const since = this.#tableEnds.get(part) ?? offset;
     this.#tableEnds.set(part, offset + 1);
-    const pieces = before === undefined
+    const fragments = before === undefined
       ? undefined
       : encodeValue(diffTables(before, after));
-    for (const piece of pieces ?? [EMPTY_FRAGMENT]) {
-      this.#sendOwners({ part, offset, since, service, ...piece });
+    for (const fragment of fragments ?? [EMPTY_FRAGMENT]) {
+      this.#sendOwners({ part, offset, since, service, ...fragment });
     }
   }
 
   /**
-   * Tells every instance that a range has reached its new owner. A record says
-   * so up to 1 s later; until then callers of its keys would wait. Only a hint: a
-   * target that does not hold a key refuses it.
+   * Announces to all instances that a range has reached its new owner. A record
+   * confirms this up to 1 s later; until then, requests for its keys would
+   * wait. The announcement is only a hint: a target that does not hold a key
+   * refuses it.
    */
   sendGranted({ service, range }: GrantedRange): void {
     const { directory, instance: from } = this.#options;
@@ -161,7 +179,9 @@
     this.#options.directory.applyGranted(message.service, message.ranges);
   }
 
-  /** Tells every instance that this one keeps a partition from now on. */
+  /**
+   * Announces to all instances that this one is now the keeper of a partition.
+   */
   sendClaim(part: number, offset: number): void {
     this.#tableEnds.set(part, offset + 1);
     this.#sendOwners({
@@ -174,18 +194,19 @@
   }
 
   /**
-   * The keeper here has read its partition: a table up to this end may be one
-   * that nobody was told of. Taken over onto the one before it, the difference
-   * of the next would leave keys with wrong owners for good.
+   * Records up to where the keeper has read its partition. A table before this
+   * end may never have been announced. If the difference of the next table were
+   * applied to a table older than that, keys would have wrong owners for good,
+   * so a receiver applies the difference only if it knows this end.
    */
   recordTableEnd(part: number, end: number): void {
     this.#tableEnds.set(part, end);
   }
 
   /**
-   * Where a partition that is kept here ended after its newest claim or table:
-   * up to there others have to know it. What else a keeper writes is for its
-   * successors. Undefined where nothing was written here.
+   * End of the newest claim or table in a partition kept here, up to which the
+   * other instances have to know the partition. The keeper's other records are
+   * for its successors only. Undefined if nothing was written here.
    */
   getTableEnd(part: number): number | undefined {
     return this.#tableEnds.get(part);
@@ -201,7 +222,9 @@
     send(duties.listBroadcastReceivers(), message);
   }
 
-  /** What comes from another data centre is for everybody in this one. */
+  /**
+   * Forwards a message from another data centre to the instances of this one.
+   */
   #forward(message: PeerMessage): void {
     const { duties, send, findMember } = this.#options;
     const sender = findMember(message.from);
@@ -210,13 +233,16 @@
     }
   }
 
-  /** Word of a claim alone says nothing of tables. */
+  /**
+   * Reads the store after a missed claim, which carries no table; otherwise
+   * fetches the table.
+   */
   #handleMissed(
     { from, part, service, offset }: OwnersMessage,
-    tail: PartitionView,
+    view: PartitionView,
   ): void {
     if (service === "") {
-      tail.scheduleRead();
+      view.scheduleRead();
     } else {
       this.#options.fetchTable(part, from, offset + 1);
     }
@@ -224,28 +250,28 @@
 
   applyTable(message: OwnersMessage): void {
     this.#forward(message);
-    const { directory, getOwnersView: getOwnersTail } = this.#options;
+    const { directory, getOwnersView } = this.#options;
     const { part, service, offset, since } = message;
-    const tail = getOwnersTail(part);
-    if (tail === undefined || offset < tail.end) {
+    const view = getOwnersView(part);
+    if (view === undefined || offset < view.end) {
       return;
     }
-    // Where a piece is lost, the next table shows that one was missed.
-    const packed = this.#joiner.add(`${part}`, offset, message);
-    if (packed === undefined) {
+    // If a fragment is lost, the next table reveals that one was missed.
+    const joined = this.#assembler.add(`${part}`, offset, message);
+    if (joined === undefined) {
       return;
     }
-    const patch = decodeValue(packed) as readonly OwnedRange[] | undefined;
+    const patch = decodeValue(joined) as readonly OwnedRange[] | undefined;
     const before = directory.getTable(service);
-    if (patch === undefined || before === undefined || tail.end < since) {
-      this.#handleMissed(message, tail);
+    if (patch === undefined || before === undefined || view.end < since) {
+      this.#handleMissed(message, view);
       return;
     }
     directory.setTable(service, applyTablePatch(before, patch), {
       offset,
       nowMs: this.#options.clock.readMs(),
     });
-    tail.applyBatch({
+    view.applyBatch({
       base: since,
       end: offset + 1,
       ageMs: 0,
@@ -264,31 +290,32 @@
     : undefined;
 }
 
-/** Stands for what is to be read instead. */
+/** No content: the receiver fetches the table or reads the store. */
 const EMPTY_FRAGMENT: Fragment = { text: "", piece: 0, pieces: 1 };
 
 /**
- * What was read, in pieces that fit into a datagram each; the next goes on where
- * the one before ends. A third of 180 targets leaving at once takes 20 of them,
- * where 200 instances that are told to read would all do so at that moment.
+ * Splits a batch into batches that fit into one datagram each, and of which
+ * each starts where the one before ends. If a third of 180 targets leaves at
+ * once, this takes 20 datagrams; otherwise, 200 instances would all read the
+ * store at that moment.
  */
-function splitBatch(slice: RecordBatch): readonly RecordBatch[] {
-  const pieces: RecordBatch[] = [];
-  let { base } = slice;
+function splitBatch(batch: RecordBatch): readonly RecordBatch[] {
+  const chunks: RecordBatch[] = [];
+  let { base } = batch;
   let records: StoreRecord[] = [];
-  let size = 0;
-  for (const record of slice.records) {
-    const added = JSON.stringify(record).length;
-    if (records.length > 0 && size + added > MAX_FRAGMENT_LENGTH) {
+  let length = 0;
+  for (const record of batch.records) {
+    const addedLength = JSON.stringify(record).length;
+    if (records.length > 0 && length + addedLength > MAX_FRAGMENT_LENGTH) {
       const end = record.offset;
-      pieces.push({ ...slice, base, end, records });
+      chunks.push({ ...batch, base, end, records });
       base = end;
       records = [];
-      size = 0;
+      length = 0;
     }
     records.push(record);
-    size += added;
+    length += addedLength;
   }
-  pieces.push({ ...slice, base, records });
-  return pieces;
+  chunks.push({ ...batch, base, records });
+  return chunks;
 }
--- a/packages/gateway/src/views/view_relay_tables_test.ts
+++ b/packages/gateway/src/views/view_relay_tables_test.ts
@@ -21,11 +21,11 @@
 import type { PeerMessage } from "../peers/peer_message.ts";
 import { ViewRelay } from "./view_relay.ts";
 
-/** The relay of one of two instances. */
-function createRelay({ clock, directory, getTail, send }: {
+/** Creates the relay of one of two instances. */
+function createRelay({ clock, directory, getView, send }: {
   readonly clock: VirtualClock;
   readonly directory: KeyDirectory;
-  readonly getTail: () => PartitionView | undefined;
+  readonly getView: () => PartitionView | undefined;
   readonly send: (message: PeerMessage) => boolean;
 }): ViewRelay {
   const self = createMember("one", { cores: 2 });
@@ -37,17 +37,17 @@
     directory,
     duties: new Duties({ clock, self, members, hasLostStore: () => false }),
     findMember: (name) => members.get(name),
-    getTargetsView: () => getTail()!,
-    getConfigurationView: () => getTail()!,
-    fetchTable: () => getTail()!.scheduleRead(),
-    getOwnersView: getTail,
-    // To nobody nothing is sent.
+    getTargetsView: () => getView()!,
+    getConfigurationView: () => getView()!,
+    fetchTable: () => getView()!.scheduleRead(),
+    getOwnersView: getView,
+    // With no receivers nothing is sent.
     send: (to, message) => to.length === 0 || send(message),
   });
 }
 
-/** A tail that goes by what it is told for a minute. */
-function createOwnersTail({ clock, store, partition, apply }: {
+/** Creates a view that relies on its peers for a minute between reads. */
+function createOwnersView({ clock, store, partition, apply }: {
   readonly clock: VirtualClock;
   readonly store: FakeStore;
   readonly partition: Partition;
@@ -68,7 +68,7 @@
   });
 }
 
-/** Ids and addresses as long as real ones. */
+/** Creates owners with ids and addresses as long as real ones. */
 function createOwners(count: number): readonly Assignee[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `i-${(index * 7_919_777).toString(16).padStart(10, "0")}`,
@@ -76,19 +76,19 @@
   }));
 }
 
-test("a keeper's table reaches the others by what differs from the last", async () => {
-  // Ten ranges move at once. The others route by the new owners without a call
-  // to the store; one that missed the table before reads instead of guessing.
+test("a keeper sends its peers the difference to the previous table", async () => {
+  // Ten ranges move at once. The other instances route to the new owners
+  // without a read; an instance that missed the previous table reads the store.
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const directory = new KeyDirectory();
   const sent: PeerMessage[] = [];
   const partition = { topic: "owners", part: 3 };
-  const tails: PartitionView[] = [];
+  const views: PartitionView[] = [];
   const relay = createRelay({
     clock,
     directory,
-    getTail: () => tails[0],
+    getView: () => views[0],
     send: (message) => {
       const isShort = JSON.stringify(message).length <= 1_400;
       if (isShort) {
@@ -111,7 +111,7 @@
 
   store.write(partition, "table/files", serializeTable(before));
   const applied: StoreRecord[] = [];
-  const tail = createOwnersTail({
+  const view = createOwnersView({
     clock,
     store,
     partition,
@@ -121,26 +121,38 @@
       directory.applyTable("files", value, { offset, nowMs: clock.readMs() });
     },
   });
-  tails.push(tail);
+  views.push(view);
   relay.applyTable(message);
-  assert.equal(applied.length, 0, "nothing counts before the first read");
-  void tail.run(new AbortController().signal);
+  assert.equal(
+    applied.length,
+    0,
+    "differences are ignored before the first read",
+  );
+  void view.run(new AbortController().signal);
   await clock.advance(1_000);
   relay.applyTable(message);
   assert.deepEqual(directory.getTable("files"), after);
-  assert.equal(tail.end, 2);
+  assert.equal(view.end, 2);
 
   store.write(partition, "table/files", serializeTable(after));
   store.write(partition, "table/files", serializeTable(before));
   relay.applyTable({ ...message, offset: 5, since: 4 });
-  assert.deepEqual(directory.getTable("files"), after, "it is not guessed");
+  assert.deepEqual(
+    directory.getTable("files"),
+    after,
+    "a difference to a missed table is not applied",
+  );
   await clock.advance(200);
-  assert.deepEqual(directory.getTable("files"), before, "it is read");
+  assert.deepEqual(
+    directory.getTable("files"),
+    before,
+    "the table is read from the store",
+  );
 });
 
-test("records between two tables that are for successors only are not read", async () => {
-  // A keeper names its witnesses anew when an instance starts. With 200 of them
-  // each such record was read by all: 700 calls in the first 8 s.
+test("records between two tables that only successors need are not read", async () => {
+  // A keeper writes a new list of witnesses when an instance starts. With 200
+  // instances, each such record was read by all: 700 calls in the first 8 s.
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const directory = new KeyDirectory();
@@ -153,7 +165,7 @@
   store.write(partition, "keeper", "{}");
   store.write(partition, "table/files", serializeTable(first));
   let reads = 0;
-  const tail = createOwnersTail({
+  const view = createOwnersView({
     clock,
     store,
     partition,
@@ -168,13 +180,13 @@
   const relay = createRelay({
     clock,
     directory,
-    getTail: () => tail,
+    getView: () => view,
     send: (message) => {
       sent.push(message);
       return true;
     },
   });
-  void tail.run(new AbortController().signal);
+  void view.run(new AbortController().signal);
   await clock.advance(1_000);
   relay.sendClaim(3, 0);
   relay.sendTable({
@@ -198,11 +210,12 @@
   assert.ok(message.kind === "owners");
   relay.applyTable(message);
   assert.deepEqual(directory.getTable("files"), second);
-  assert.equal(tail.end, 4);
+  assert.equal(view.end, 4);
   await clock.advance(1_000);
   assert.equal(reads, 0);
 
-  // A table at 4 was written whose answer was lost: nobody was told of it.
+  // The table at offset 4 was written, but the response to its append was lost,
+  // so it was never announced.
   relay.recordTableEnd(3, 5);
   relay.sendTable({
     part: 3,
@@ -215,9 +228,10 @@
   assert.ok(next.kind === "owners" && next.since === 5);
 });
 
-test("a difference too long for a datagram comes in pieces, in any order", async () => {
-  // A plan moves keys of 150 targets at once. Told to read the table instead,
-  // 58 instances would read it at the same moment, several times a second.
+test("a difference too long for one datagram arrives in fragments in any order", async () => {
+  // A plan moves keys of 150 targets at once. If the instances had to read the
+  // table instead, 58 of them would read it at the same moment, several times a
+  // second.
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const directory = new KeyDirectory();
@@ -232,7 +246,7 @@
   }));
   const after = applyReassignments(before, changes, 1);
   store.write(partition, "table/files", serializeTable(before));
-  const tail = createOwnersTail({
+  const view = createOwnersView({
     clock,
     store,
     partition,
@@ -243,26 +257,30 @@
   const relay = createRelay({
     clock,
     directory,
-    getTail: () => tail,
+    getView: () => view,
     send: (message) => {
       assert.ok(JSON.stringify(message).length <= 1_400);
       sent.push(message);
       return true;
     },
   });
-  void tail.run(new AbortController().signal);
+  void view.run(new AbortController().signal);
   await clock.advance(1_000);
   relay.sendTable({ part: 0, service: "files", offset: 1, before, after });
   assert.ok(sent.length > 1);
   for (const message of sent.toReversed()) {
     assert.ok(message.kind === "owners");
-    assert.deepEqual(directory.getTable("files"), before, "not yet whole");
+    assert.deepEqual(
+      directory.getTable("files"),
+      before,
+      "a fragment is missing",
+    );
     relay.applyTable(message);
   }
   assert.deepEqual(directory.getTable("files"), after);
 });
 
-test("a table and its difference give the later table", () => {
+test("applying the difference of two tables gives the later table", () => {
   const owners = ["a", "b", "c"].map((id) => ({ id, address: `${id}:1` }));
   let table: KeyTable = createTable(owners, 1);
   for (let token = 2; token < 60; token++) {
@@ -276,44 +294,46 @@
   }
 });
 
-test("a configuration reaches the others in pieces, and is taken over whole", async () => {
+test("a configuration arrives in fragments and is applied only when complete", async () => {
   const clock = new VirtualClock();
   const store = new FakeStore(clock);
   const partition = { topic: "configuration", part: 0 };
   const sent: PeerMessage[] = [];
-  const tails: PartitionView[] = [];
+  const views: PartitionView[] = [];
   const relay = createRelay({
     clock,
     directory: new KeyDirectory(),
-    getTail: () => tails[0],
+    getView: () => views[0],
     send: (message) => sent.push(message) > 0,
   });
   store.write(partition, "newest", "first");
   const applied: StoreRecord[] = [];
-  const tail = createOwnersTail({
+  const view = createOwnersView({
     clock,
     store,
     partition,
     apply: (record) => applied.push(record),
   });
-  tails.push(tail);
-  void tail.run(new AbortController().signal);
+  views.push(view);
+  void view.run(new AbortController().signal);
   await clock.advance(500);
   const random = new SeededRandom(3);
   const value = Array.from({ length: 4_000 }, () => random.draw().toString(36))
     .join("").slice(0, 5_000);
   const records = [{ offset: 1, key: "newest", value }];
-  const slice = { base: 1, end: 2, ageMs: 0, sinceOutageMs: null, records };
-  relay.sendConfiguration(slice);
-  assert.ok(sent.length > 2, `${sent.length} pieces`);
-  const pieces = sent.flatMap((message) =>
+  const batch = { base: 1, end: 2, ageMs: 0, sinceOutageMs: null, records };
+  relay.sendConfiguration(batch);
+  assert.ok(sent.length > 2, `${sent.length} fragments`);
+  const fragments = sent.flatMap((message) =>
     message.kind === "configuration" ? [message] : []
   );
-  pieces.slice(1).toReversed().forEach((one) => relay.applyConfiguration(one));
-  assert.equal(tail.end, 1, "a piece is missing");
-  relay.applyConfiguration(pieces[0]!);
-  assert.equal(tail.end, 2);
+  fragments.slice(1).toReversed().forEach((one) =>
+    relay.applyConfiguration(one)
+  );
+  assert.equal(view.end, 1, "nothing is applied while a fragment is missing");
+  relay.applyConfiguration(fragments[0]!);
+  assert.equal(view.end, 2);
   assert.equal(applied.at(-1)?.value, value);
-  relay.applyConfiguration({ ...pieces[0]!, pieces: 1, end: 9 });
-  assert.equal(tail.end, 2, "cut text changes nothing");
+  relay.applyConfiguration({ ...fragments[0]!, pieces: 1, end: 9 });
+  assert.equal(view.end, 2, "a truncated text is ignored");
 });
