--- a/packages/gateway/src/views/view_relay_targets_test.ts
+++ b/packages/gateway/src/views/view_relay_targets_test.ts
@@ -11,21 +11,24 @@
 import { ViewRelay } from "./view_relay.ts";
 
 const PARTITION = { topic: "targets", part: 0 };
-const GAP_MS = 750;
-const VALID_MS = 1_000;
-const LOCAL_VALID_MS = 900;
+const POLL_DELAY_MS = 750;
+const PEER_DATA_TTL_MS = 1_000;
+const LOCAL_READER_TTL_MS = 900;
 
-/** Between two datagrams by which an instance says that it is there. */
-const ALIVE_EVERY_MS = 500;
+/** Interval between two heartbeat datagrams of an instance. */
+const HEARTBEAT_INTERVAL_MS = 500;
 
-/** Instances that pass on what they read; a name begins with its data centre. */
-class Readers {
+/**
+ * Simulates instances that pass on what they read; the prefix of an instance's
+ * name is its data centre.
+ */
+class ReaderSimulation {
   readonly clock = new VirtualClock();
   readonly store = new FakeStore(this.clock);
-  readonly tails = new Map<string, PartitionView>();
+  readonly views = new Map<string, PartitionView>();
   readonly duties = new Map<string, Duties>();
   readonly known = new Map<string, Map<string, string>>();
-  /** Reads of each instance. */
+  /** Number of reads by instance. */
   readonly reads = new Map<string, number>();
   readonly silent = new Set<string>();
   readonly #members = new Map<string, Members>();
@@ -39,7 +42,10 @@
     void this.#runHeartbeats();
   }
 
-  /** The instance that reads for all, as all of them see it. */
+  /**
+   * Finds the instance that reads for all, and asserts that there is exactly
+   * one.
+   */
   findReader(): string {
     const readers = [...this.duties]
       .filter(([, duties]) => duties.isReader())
@@ -66,10 +72,10 @@
       clock: this.clock,
       self,
       members,
-      hasLostStore: () => this.tails.get(name)?.hasLostStore === true,
+      hasLostStore: () => this.views.get(name)?.hasLostStore === true,
     });
     const relay = this.#createRelay(name, members, duties);
-    const tail = new PartitionView({
+    const view = new PartitionView({
       clock: this.clock,
       store: {
         ...client,
@@ -80,28 +86,28 @@
       },
       partition: PARTITION,
       getPollingPolicy: () => ({
-        pollDelayMs: GAP_MS,
+        pollDelayMs: POLL_DELAY_MS,
         waitMs: 0,
         peerDataTtlMs: duties.isReader()
           ? 0
           : duties.isLocalReader()
-          ? LOCAL_VALID_MS
-          : VALID_MS,
+          ? LOCAL_READER_TTL_MS
+          : PEER_DATA_TTL_MS,
         maxBackoffMs: 400,
       }),
       apply: ({ key, value }) => known.set(key, value),
       observe: () => undefined,
-      onRead: (slice) =>
+      onRead: (batch) =>
         relay.sendTargets(
-          slice,
+          batch,
           ({ key, value }) => known.get(key) !== value,
         ),
     });
-    this.tails.set(name, tail);
+    this.views.set(name, view);
     this.duties.set(name, duties);
     this.#members.set(name, members);
     this.#relays.set(name, relay);
-    void tail.run(new AbortController().signal);
+    void view.run(new AbortController().signal);
   }
 
   #createRelay(name: string, members: Members, duties: Duties): ViewRelay {
@@ -112,8 +118,8 @@
       directory: new KeyDirectory(),
       duties,
       findMember: (other) => members.get(other),
-      getTargetsView: () => this.tails.get(name)!,
-      getConfigurationView: () => this.tails.get(name)!,
+      getTargetsView: () => this.views.get(name)!,
+      getConfigurationView: () => this.views.get(name)!,
       getOwnersView: () => undefined,
       fetchTable: () => undefined,
       send: (to, message) => this.#transfer(name, to, message),
@@ -123,14 +129,14 @@
   async #runHeartbeats(): Promise<void> {
     for (;;) {
       for (const [name, members] of this.#members) {
-        for (const other of this.tails.keys()) {
+        for (const other of this.views.keys()) {
           if (other !== name && !this.silent.has(other)) {
-            const hasLost = this.tails.get(other)!.hasLostStore;
+            const hasLost = this.views.get(other)!.hasLostStore;
             members.recordStoreStatus(other, hasLost, this.clock.readMs());
           }
         }
       }
-      await this.clock.sleep(ALIVE_EVERY_MS);
+      await this.clock.sleep(HEARTBEAT_INTERVAL_MS);
     }
   }
 
@@ -148,148 +154,151 @@
   }
 }
 
-test("one instance of a data centre reads for all of them", async () => {
+test("one instance of a data centre reads for all instances there", async () => {
   const names = ["one", "two", "three"];
-  const readers = new Readers(names);
-  await readers.clock.advance(5_000);
-  const reader = readers.findReader();
-  readers.store.write(PARTITION, "a", "leaving");
-  readers.store.write(PARTITION, "b", "present");
-  await readers.clock.advance(GAP_MS + 50);
-  for (const [name, known] of readers.known) {
+  const simulation = new ReaderSimulation(names);
+  await simulation.clock.advance(5_000);
+  const reader = simulation.findReader();
+  simulation.store.write(PARTITION, "a", "leaving");
+  simulation.store.write(PARTITION, "b", "present");
+  await simulation.clock.advance(POLL_DELAY_MS + 50);
+  for (const [name, known] of simulation.known) {
     assert.deepEqual([...known], [["a", "leaving"], ["b", "present"]], name);
   }
-  await readers.clock.advance(15_000);
-  const own = readers.reads.get(reader)!;
+  await simulation.clock.advance(15_000);
+  const own = simulation.reads.get(reader)!;
   assert.ok(own > 20, `${own}`);
-  assert.ok(readers.countReads() - own <= 4, `${[...readers.reads]}`);
+  assert.ok(simulation.countReads() - own <= 4, `${[...simulation.reads]}`);
 });
 
 /** Sixteen instances in four data centres. */
 const MANY = ["bole", "kirkos", "yeka", "lideta"]
   .flatMap((dataCentre) => [1, 2, 3, 4].map((one) => `${dataCentre}-${one}`));
 
-test("one instance reads for those of all data centres", async () => {
-  // Every target writes its entry each second. With a reader in each data
-  // centre the same bytes are asked for once for each of them; here one asks,
-  // and a change has reached everybody before the next read.
-  const readers = new Readers(MANY);
-  await readers.clock.advance(5_000);
-  const reader = readers.findReader();
-  readers.store.write(PARTITION, "b", "present");
-  await readers.clock.advance(GAP_MS + 50);
-  for (const [name, known] of readers.known) {
+test("one instance reads for the instances of all data centres", async () => {
+  // Each target writes its entry every second. If one instance in each data
+  // centre read them, the store would send the same bytes to each data centre.
+  // With a single reader, all instances have a change before its next read.
+  const simulation = new ReaderSimulation(MANY);
+  await simulation.clock.advance(5_000);
+  const reader = simulation.findReader();
+  simulation.store.write(PARTITION, "b", "present");
+  await simulation.clock.advance(POLL_DELAY_MS + 50);
+  for (const [name, known] of simulation.known) {
     assert.equal(known.get("b"), "present", name);
   }
-  const before = readers.countReads() - readers.reads.get(reader)!;
-  await readers.clock.advance(30_000);
-  const after = readers.countReads() - readers.reads.get(reader)!;
-  assert.equal(after - before, 0, `${[...readers.reads]}`);
+  const before = simulation.countReads() - simulation.reads.get(reader)!;
+  await simulation.clock.advance(30_000);
+  const after = simulation.countReads() - simulation.reads.get(reader)!;
+  assert.equal(after - before, 0, `${[...simulation.reads]}`);
 });
 
-test("a reader that loses the store is replaced, and says so", async () => {
-  // The store turns away just the instance that reads for all. It goes on
-  // telling that it is there; without word of the store everybody would read
-  // for itself from then on, 16 times as many calls.
-  const readers = new Readers(MANY);
-  await readers.clock.advance(5_000);
-  const reader = readers.findReader();
-  readers.store.setFaultMode(reader, "refusing");
-  await readers.clock.advance(3_000);
-  assert.notEqual(readers.findReader(), reader);
-  const before = readers.countReads();
-  await readers.clock.advance(15_000);
-  const perSecond = (readers.countReads() - before) / 15;
+test("a reader that loses the store reports this and is replaced", async () => {
+  // The store refuses calls only from the reader, which keeps sending
+  // heartbeats. If they did not report the lost store, every instance would
+  // read for itself: 16 times as many calls.
+  const simulation = new ReaderSimulation(MANY);
+  await simulation.clock.advance(5_000);
+  const reader = simulation.findReader();
+  simulation.store.setFaultMode(reader, "refusing");
+  await simulation.clock.advance(3_000);
+  assert.notEqual(simulation.findReader(), reader);
+  const before = simulation.countReads();
+  await simulation.clock.advance(15_000);
+  const perSecond = (simulation.countReads() - before) / 15;
   assert.ok(perSecond < 6, `${perSecond} a second`);
 });
 
-test("where a data centre's reader falls silent a change is seen in time", async () => {
-  // The instance that passes entries on in Yeka is lost, and a target leaves.
-  // The others there must see it within 2 s, or they send to a target that ends.
-  const readers = new Readers(MANY);
-  await readers.clock.advance(5_000);
+test("a change is seen in time when a data centre's local reader falls silent", async () => {
+  // The instance that forwards entries within Yeka is lost while a target
+  // leaves. The other instances there must see the change within 2 s, or they
+  // send requests to a target that is shutting down.
+  const simulation = new ReaderSimulation(MANY);
+  await simulation.clock.advance(5_000);
   const local =
-    [...readers.duties].find(([name, duties]) =>
-      name !== readers.findReader() && duties.isLocalReader()
+    [...simulation.duties].find(([name, duties]) =>
+      name !== simulation.findReader() && duties.isLocalReader()
     )![0];
-  readers.silent.add(local);
-  readers.store.setFaultMode(local, "silent");
-  readers.store.write(PARTITION, "a", "leaving");
-  await readers.clock.advance(VALID_MS + 100);
-  for (const [name, known] of readers.known) {
+  simulation.silent.add(local);
+  simulation.store.setFaultMode(local, "silent");
+  simulation.store.write(PARTITION, "a", "leaving");
+  await simulation.clock.advance(PEER_DATA_TTL_MS + 100);
+  for (const [name, known] of simulation.known) {
     assert.ok(name === local || known.get("a") === "leaving", name);
   }
 });
 
-test("many entries that change at once come in datagrams", async () => {
-  // A third of 180 targets leaves at one moment. Told to read them instead, all
-  // instances would call the store together.
-  const readers = new Readers(MANY);
-  await readers.clock.advance(5_000);
-  const reader = readers.findReader();
-  const before = readers.countReads() - readers.reads.get(reader)!;
+test("many entries that change at once arrive in datagrams", async () => {
+  // A third of 180 targets leaves at the same moment. If the instances had to
+  // read the entries themselves, they would all call the store at once.
+  const simulation = new ReaderSimulation(MANY);
+  await simulation.clock.advance(5_000);
+  const reader = simulation.findReader();
+  const before = simulation.countReads() - simulation.reads.get(reader)!;
   for (let index = 0; index < 60; index++) {
-    readers.store.write(PARTITION, `target-${index}`, "x".repeat(400));
+    simulation.store.write(PARTITION, `target-${index}`, "x".repeat(400));
   }
-  await readers.clock.advance(GAP_MS + 50);
-  for (const [name, known] of readers.known) {
+  await simulation.clock.advance(POLL_DELAY_MS + 50);
+  for (const [name, known] of simulation.known) {
     assert.equal(known.size, 61, name);
   }
-  assert.equal(readers.countReads() - readers.reads.get(reader)!, before);
+  assert.equal(simulation.countReads() - simulation.reads.get(reader)!, before);
 });
 
 test("an instance that reads for others and falls silent is replaced", async () => {
-  // The reader is frozen or lost while a target leaves. The others must see it
-  // well within 2 s all the same, or they send to a target that ends.
-  const readers = new Readers(["one", "two", "three"]);
-  await readers.clock.advance(5_000);
-  const reader = readers.findReader();
-  readers.silent.add(reader);
-  readers.store.setFaultMode(reader, "silent");
-  readers.store.write(PARTITION, "a", "leaving");
-  await readers.clock.advance(VALID_MS + 100);
-  for (const [name, known] of readers.known) {
+  // The reader freezes or is lost while a target leaves. The other instances
+  // must see the change well within 2 s, or they send requests to a target that
+  // is shutting down.
+  const simulation = new ReaderSimulation(["one", "two", "three"]);
+  await simulation.clock.advance(5_000);
+  const reader = simulation.findReader();
+  simulation.silent.add(reader);
+  simulation.store.setFaultMode(reader, "silent");
+  simulation.store.write(PARTITION, "a", "leaving");
+  await simulation.clock.advance(PEER_DATA_TTL_MS + 100);
+  for (const [name, known] of simulation.known) {
     assert.ok(name === reader || known.get("a") === "leaving", name);
   }
 });
 
-test("what was missed is read, never skipped", async () => {
-  // One datagram with a leaving target is lost. The next one says that it goes
-  // on from further than this instance has got to.
-  const readers = new Readers(["one", "two"]);
-  await readers.clock.advance(5_000);
-  const reader = readers.findReader();
-  const listener = reader === "one" ? "two" : "one";
-  const tail = readers.tails.get(listener)!;
-  const { end } = tail;
-  readers.store.write(PARTITION, "a", "leaving");
-  tail.applyBatch({
+test("missed records are read from the store, never skipped", async () => {
+  // The datagram that reports a leaving target is lost. The next datagram
+  // starts at an offset beyond the end of this instance's view.
+  const simulation = new ReaderSimulation(["one", "two"]);
+  await simulation.clock.advance(5_000);
+  const reader = simulation.findReader();
+  const receiver = reader === "one" ? "two" : "one";
+  const view = simulation.views.get(receiver)!;
+  const { end } = view;
+  simulation.store.write(PARTITION, "a", "leaving");
+  view.applyBatch({
     base: end + 1,
     end: end + 1,
     ageMs: 0,
     sinceOutageMs: null,
     records: [],
   });
-  assert.equal(tail.end, end);
-  await readers.clock.advance(100);
-  assert.equal(readers.known.get(listener)!.get("a"), "leaving");
+  assert.equal(view.end, end);
+  await simulation.clock.advance(100);
+  assert.equal(simulation.known.get(receiver)!.get("a"), "leaving");
 });
 
-test("what is older than what is known changes nothing", async () => {
-  // A reader wakes from a freeze and passes on what it had read before it.
-  const readers = new Readers(["one", "two"]);
-  await readers.clock.advance(1_000);
-  readers.store.write(PARTITION, "a", "leaving");
-  await readers.clock.advance(2_000);
-  const tail = readers.tails.get("two")!;
-  const { end } = tail;
-  tail.applyBatch({
+test("records older than the known state are ignored", async () => {
+  // A reader resumes after a freeze and passes on records that it read before
+  // the freeze.
+  const simulation = new ReaderSimulation(["one", "two"]);
+  await simulation.clock.advance(1_000);
+  simulation.store.write(PARTITION, "a", "leaving");
+  await simulation.clock.advance(2_000);
+  const view = simulation.views.get("two")!;
+  const { end } = view;
+  view.applyBatch({
     base: 0,
     end: end - 1,
     ageMs: 0,
     sinceOutageMs: null,
     records: [{ offset: 0, key: "a", value: "present" }],
   });
-  assert.equal(tail.end, end);
-  assert.equal(readers.known.get("two")!.get("a"), "leaving");
+  assert.equal(view.end, end);
+  assert.equal(simulation.known.get("two")!.get("a"), "leaving");
 });
