--- a/packages/gateway/src/event_reporter.ts
+++ b/packages/gateway/src/event_reporter.ts
@@ -1,7 +1,7 @@
 /**
- * Turns what the parts of an instance observe into log lines and metrics. Each
- * line says what decided and how old that was, so that a request's id leads to
- * its cause.
+ * Turns the events of an instance's parts into log lines and metrics. Each line
+ * carries what led to a decision and how old that information was, so that a
+ * request's id leads to its cause.
  */
 import type { ErrorKind } from "@lentilspur/outcomes/error_kinds";
 import type { CatalogueEvent } from "./views/catalogue_event.ts";
@@ -18,19 +18,19 @@
 import type { RequestEvent } from "./requests/request_reporter.ts";
 
 export class EventReporter {
-  readonly #lines: StructuredLogger;
+  readonly #logger: StructuredLogger;
   readonly #metrics: GatewayMetrics;
-  #shareFails = false;
+  #hasReportedShareFailure = false;
 
-  constructor(lines: StructuredLogger, metrics: GatewayMetrics) {
-    this.#lines = lines;
+  constructor(logger: StructuredLogger, metrics: GatewayMetrics) {
+    this.#logger = logger;
     this.#metrics = metrics;
   }
 
   observeRequest(event: RequestEvent): void {
     const { kind, ...fields } = event;
     const isAnswered = event.outcome === "answered";
-    this.#lines.log(kind, isAnswered ? "routine" : "notable", fields);
+    this.#logger.log(kind, isAnswered ? "routine" : "notable", fields);
     const { service, outcome } = event;
     switch (event.kind) {
       case "send":
@@ -49,7 +49,7 @@
 
   observeCatalogue(event: CatalogueEvent): void {
     const { kind, ...fields } = event;
-    this.#lines.log(kind, "notable", fields);
+    this.#logger.log(kind, "notable", fields);
     if (event.kind === "evacuation") {
       this.#metrics.evacuations.inc({ state: event.state });
     }
@@ -57,7 +57,7 @@
 
   observeStoreView(event: PartitionViewEvent): void {
     const { kind, ...fields } = event;
-    this.#lines.log(`store-${kind}`, "notable", fields);
+    this.#logger.log(`store-${kind}`, "notable", fields);
   }
 
   observeQuarantine(event: QuarantineEvent): void {
@@ -67,7 +67,7 @@
 
   observeLimit(event: LimitEvent): void {
     const { kind, ...fields } = event;
-    this.#lines.log(kind, "notable", fields);
+    this.#logger.log(kind, "notable", fields);
   }
 
   observeKeeper(event: KeeperServiceEvent): void {
@@ -76,10 +76,10 @@
         this.#observeKeeperEvent(event);
         return;
       case "share-failed":
-        this.#reportShare(event.cause);
+        this.#reportShareFailure(event.cause);
         return;
       case "share":
-        this.#shareFails = false;
+        this.#hasReportedShareFailure = false;
         this.#log("keeper-share", event);
         return;
       case "claimed":
@@ -100,41 +100,50 @@
     readonly message: string;
   }): void {
     const { kind: outcome, requestId, message } = failure;
-    this.#lines.log("final", "notable", { requestId, outcome, message });
+    this.#logger.log("final", "notable", { requestId, outcome, message });
     this.#metrics.requests.inc({ service: "", outcome });
   }
 
   reportFault(message: string): void {
-    this.#lines.log("fault", "notable", { message });
+    this.#logger.log("fault", "notable", { message });
   }
 
-  /** A store that is away fails each join: the first one says it. */
-  #reportShare(cause: string): void {
-    if (!this.#shareFails) {
-      this.#lines.log("keeper-share-failed", "notable", { cause });
+  /**
+   * While the store is unavailable every join fails; only the first is logged.
+   */
+  #reportShareFailure(cause: string): void {
+    if (!this.#hasReportedShareFailure) {
+      this.#logger.log("keeper-share-failed", "notable", { cause });
     }
-    this.#shareFails = true;
+    this.#hasReportedShareFailure = true;
   }
 
   #observeKeeperEvent(event: KeeperServiceEvent & { kind: "keeper" }): void {
-    const { partition, event: inner } = event;
-    if (inner.kind !== "order") {
-      this.#log(`keeper-${inner.kind}`, { part: partition.part, ...inner });
+    const { partition, event: keeperEvent } = event;
+    if (keeperEvent.kind !== "order") {
+      this.#log(`keeper-${keeperEvent.kind}`, {
+        part: partition.part,
+        ...keeperEvent,
+      });
       return;
     }
-    this.#metrics.orders.inc({ order: inner.order, outcome: inner.outcome });
-    // Renewals that succeed say nothing new; the counter has them.
-    if (inner.order !== "renew" || inner.outcome !== "done") {
-      this.#log("key-order", { part: partition.part, ...inner });
+    this.#metrics.orders.inc({
+      order: keeperEvent.order,
+      outcome: keeperEvent.outcome,
+    });
+    // Successful renewals are only counted, since their lines would add
+    // nothing.
+    if (keeperEvent.order !== "renew" || keeperEvent.outcome !== "done") {
+      this.#log("key-order", { part: partition.part, ...keeperEvent });
     }
   }
 
   #log(
     event: string,
     fields: LogFields,
-    weight: LogPriority = "notable",
+    priority: LogPriority = "notable",
   ): void {
     const { kind: _kind, ...rest } = fields;
-    this.#lines.log(event, weight, rest);
+    this.#logger.log(event, priority, rest);
   }
 }
--- a/packages/gateway/src/event_reporter_test.ts
+++ b/packages/gateway/src/event_reporter_test.ts
@@ -18,21 +18,21 @@
 };
 const PARTITION = { topic: "owners", part: 3 };
 
-test("the line of an order says when it was written and how long the order took", async () => {
-  // Orders of keys seemed to lie seconds before everything else that an instance
-  // wrote, so that gaps between its lines, which show a process that stood still,
-  // were seen where there were none: the order's own time hid the process's.
+test("the line of an order has the time of writing and the duration of the order", async () => {
+  // The duration of an order replaced the `elapsedMs` of its line. Orders then
+  // seemed to be written seconds too early, and the lines showed gaps as if the
+  // process had been suspended.
   const clock = new VirtualClock();
   const stream = new PassThrough();
-  const lines = new StructuredLogger({
+  const logger = new StructuredLogger({
     clock,
     instance: "a",
     incarnation: "b",
     stream,
   });
-  const report = new EventReporter(lines, new GatewayMetrics(() => GAUGES));
+  const reporter = new EventReporter(logger, new GatewayMetrics(() => GAUGES));
   await clock.advance(5_000);
-  report.observeKeeper({
+  reporter.observeKeeper({
     kind: "keeper",
     partition: PARTITION,
     event: {
@@ -47,7 +47,7 @@
       tookMs: 12,
     },
   });
-  lines.flush();
+  logger.flush();
   const line = JSON.parse(String(stream.read()));
   assert.equal(line.elapsedMs, 5_000);
   assert.equal(line.tookMs, 12);
--- a/packages/gateway/src/gateway_metrics.ts
+++ b/packages/gateway/src/gateway_metrics.ts
@@ -1,7 +1,10 @@
-/** Counters, gauges and latency histograms, served on the metrics address. */
+/** Counters, gauges and latency histograms, served at the metrics address. */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Around the goals (150 to 600 ms) and deadlines (1 to 6 s) of today's routes. */
+/**
+ * Covers the latency goals (150 to 600 ms) and the deadlines (1 to 6 s) of
+ * today's routes.
+ */
 const LATENCY_BUCKETS_S = [
   0.01,
   0.025,
@@ -37,7 +40,8 @@
   });
   readonly latency = new Histogram({
     name: "lentilspur_request_seconds",
-    help: "From the head of a request to its answer, by service and outcome",
+    help:
+      "Time from the head of a request to its answer, by service and outcome",
     labelNames: ["service", "outcome"] as const,
     buckets: LATENCY_BUCKETS_S,
     registers: [this.#registry],
@@ -51,7 +55,7 @@
   });
   readonly sends = new Counter({
     name: "lentilspur_sends_total",
-    help: "Requests put on a connection to a target, by service and outcome",
+    help: "Requests sent on a connection to a target, by service and outcome",
     labelNames: ["service", "outcome"] as const,
     registers: [this.#registry],
   });
@@ -70,14 +74,15 @@
 
   readonly evacuations = new Counter({
     name: "lentilspur_evacuations_total",
-    help: "Data centres taken out of use, or back into it, by state",
+    help: "Data centres evacuated or restored, by state",
     labelNames: ["state"] as const,
     registers: [this.#registry],
   });
 
   readonly suspicions = new Counter({
     name: "lentilspur_suspicions_total",
-    help: "Crashes under requests, trials of requests, and requests cleared",
+    help:
+      "Crashes of targets on requests, trials of quarantined requests, and requests cleared",
     labelNames: ["event"] as const,
     registers: [this.#registry],
   });
@@ -85,7 +90,7 @@
   constructor(readGauges: () => GatewayGauges) {
     this.#addGauge(
       "lentilspur_waiting_requests",
-      "Requests that wait for a place",
+      "Requests that wait for a place at a target",
       () => readGauges().waiting,
     );
     this.#addGauge(
@@ -95,12 +100,12 @@
     );
     this.#addGauge(
       "lentilspur_targets",
-      "Targets that are known",
+      "Targets that this instance knows",
       () => readGauges().targets,
     );
     this.#addGauge(
       "lentilspur_configuration_version",
-      "Version in force",
+      "Version of the configuration in force",
       () => readGauges().configurationVersion,
     );
     this.#addGauge(
@@ -110,7 +115,7 @@
     );
     this.#addGauge(
       "lentilspur_quarantined_requests",
-      "Requests that are sent to no target, since targets crash under them",
+      "Requests that are not sent to any target, since targets crash on them",
       () => readGauges().quarantined,
     );
     this.#addGauge(
@@ -120,7 +125,7 @@
     );
     this.#addGauge(
       "lentilspur_limited_targets",
-      "Targets that name a limit of requests a second",
+      "Targets that set a limit on their requests per second",
       () => readGauges().limited,
     );
   }
--- a/packages/gateway/src/gateway_settings.ts
+++ b/packages/gateway/src/gateway_settings.ts
@@ -1,4 +1,4 @@
-/** What an instance is told at its start; resolved and frozen. */
+/** The settings of an instance at its start, resolved and frozen. */
 import type { RetryLimits } from "@lentilspur/routing/retry_budget";
 
 export interface ResolvedGatewaySettings {
@@ -6,37 +6,43 @@
   readonly dataCentre: string;
   /** Processor time that the process may use, in cores. */
   readonly cores: number;
-  /** Address of the machine; all listeners are bound to it. */
+  /** Address of the machine; all listeners bind to it. */
   readonly host: string;
   readonly requestPort: number;
   readonly readyPort: number;
   readonly metricsPort: number;
   readonly peerPort: number;
-  /** Second sends that all instances may make together. */
+  /** Limits on the retries of all instances together. */
   readonly retryLimits: RetryLimits;
   /** Longest hold of keys that a target accepts. */
   readonly maxHoldMs: number;
-  /** After a target was acknowledged as leaving, it may be sent work this long. */
+  /**
+   * How long a target may be sent work after it was acknowledged as leaving.
+   */
   readonly drainMs: number;
-  /** After an evacuation was acknowledged, its targets may be sent work this long. */
+  /**
+   * How long targets may be sent work after their evacuation was acknowledged.
+   */
   readonly evacuationMs: number;
-  /** From the signal to stop until the process is killed. */
+  /** Time from the stop signal until the process is killed. */
   readonly gracePeriodMs: number;
-  /** Shortest time after which the store takes a silent member for gone. */
+  /**
+   * Shortest time after which the store may drop a member that does not join.
+   */
   readonly minMemberTtlMs: number;
 }
 
-/** Where in the store an instance finds things, and how to read them. */
+/** The topics, partitions and keys under which data is kept in the store. */
 export interface StoreLayout {
   readonly configuration: {
     readonly topic: string;
     readonly part: number;
     readonly key: string;
-    /** Before the name of a data centre that operators have evacuated. */
+    /** Prefix of the key that marks a data centre as evacuated by operators. */
     readonly evacuationPrefix: string;
   };
   readonly targets: { readonly topic: string; readonly part: number };
   readonly members: { readonly topic: string; readonly part: number };
-  /** The table of owners, in this many partitions. */
+  /** The ownership table, divided into this many partitions. */
   readonly owners: { readonly topic: string; readonly parts: number };
 }
--- a/packages/gateway/src/instance.ts
+++ b/packages/gateway/src/instance.ts
@@ -1,7 +1,7 @@
 /**
- * One instance, put together from its ports: it takes callers' requests and
- * sends them to targets itself, and is the keeper of keys for the partitions
- * that fall to it.
+ * Assembles one instance of the router. An instance receives callers' requests
+ * and sends them to targets itself, and it is the keeper of keys in the
+ * partitions that are assigned to it.
  */
 import { randomInt, randomUUID } from "node:crypto";
 import { setMaxListeners } from "node:events";
@@ -51,15 +51,20 @@
 import { TargetRateLimiter } from "./requests/target_rate_limiter.ts";
 import { ViewRelay } from "./views/view_relay.ts";
 
-/** Loops that end with the instance: a few, and one for each partition followed. */
+/** Loops that end with the instance: a few, and one per partition followed. */
 const MAX_LOOPS = 200;
-/** Seeds are drawn below this: all that the generator tells apart. */
+/** Seeds are below this: the generator uses 32 bits. */
 const MAX_SEED = 2 ** 32;
-/** Targets that were missing are let go, and changes taken over, this often. */
+/** Interval at which missing targets expire and changes are applied. */
 const CATALOGUE_TICK_MS = 100;
-/** Room between the last sends to a leaving target and the bound on them. */
+/**
+ * Margin between the last sends to a leaving target and the end of draining.
+ */
 const LEAVING_MARGIN_MS = 1_100;
-/** The same for an evacuated data centre; word of it travels as a configuration does. */
+/**
+ * The same margin for an evacuated data centre; an evacuation spreads to the
+ * instances as a configuration does.
+ */
 const EVACUATION_MARGIN_MS = 3_000;
 
 export class Instance {
@@ -78,18 +83,18 @@
   readonly #views: StoreViews;
   readonly #quarantine: RequestQuarantine;
   readonly #limits: TargetLimits;
-  readonly #turns: TargetRateLimiter;
+  readonly #rateLimiter: TargetRateLimiter;
   readonly #router: RequestRouter;
   readonly #server: RequestServer;
-  readonly #keepers: KeeperService;
+  readonly #keeperService: KeeperService;
   readonly #relay: ViewRelay;
   readonly #tables: TableRequests;
   readonly #accounts: AccountAdmission;
   readonly #demands: AccountDemands;
-  readonly #peers: PeerTransport;
+  readonly #peerTransport: PeerTransport;
   readonly #loads: LoadExchange;
-  readonly #dispatch: PeerDispatcher;
-  readonly #ready: MonitoringServer;
+  readonly #dispatcher: PeerDispatcher;
+  readonly #readyServer: MonitoringServer;
   readonly #metricsServer: MonitoringServer;
   readonly #keyTraffic: KeyTraffic;
   readonly #status: InstanceStatus;
@@ -129,24 +134,25 @@
       retryLimits: settings.retryLimits,
       random: new SeededRandom(randomInt(MAX_SEED)),
       countInstances: () => this.#members.instanceCount,
-      estimatePermitWaitMs: (target) => this.#turns.estimateWaitMs(target),
+      estimatePermitWaitMs: (target) =>
+        this.#rateLimiter.estimateWaitMs(target),
     });
     this.#accounts = new AccountAdmission(clock);
     this.#views = this.#createViews();
     this.#quarantine = this.#createQuarantine();
     this.#limits = this.#createLimits();
-    this.#turns = this.#createTurns();
+    this.#rateLimiter = this.#createRateLimiter();
     this.#router = this.#createRouter();
     this.#server = this.#createServer();
-    this.#keepers = this.#createKeepers();
-    this.#peers = this.#createPeers();
+    this.#keeperService = this.#createKeeperService();
+    this.#peerTransport = this.#createPeerTransport();
     this.#loads = this.#createLoads();
     this.#relay = this.#createRelay();
     this.#tables = this.#createTables();
     this.#keyTraffic = this.#createKeyTraffic();
     this.#demands = this.#createDemands();
     this.#status = this.#createStatus();
-    this.#dispatch = new PeerDispatcher({
+    this.#dispatcher = new PeerDispatcher({
       clock,
       members: this.#members,
       duties: this.#duties,
@@ -155,14 +161,16 @@
       relay: this.#relay,
       keyTraffic: this.#keyTraffic,
       demands: this.#demands,
-      keepers: this.#keepers,
+      keepers: this.#keeperService,
       quarantine: this.#quarantine,
       limits: this.#limits,
-      turns: this.#turns,
+      turns: this.#rateLimiter,
       tables: this.#tables,
       reportFault: (message) => this.#reporter.reportFault(message),
     });
-    this.#ready = new MonitoringServer((path) => this.#status.answer(path));
+    this.#readyServer = new MonitoringServer((path) =>
+      this.#status.answer(path)
+    );
     this.#metricsServer = new MonitoringServer(async () => ({
       status: 200,
       contentType: "text/plain; version=0.0.4",
@@ -174,27 +182,32 @@
     return this.#logger;
   }
 
-  /** Takes over what may change while the process runs; addresses may not. */
+  /**
+   * Applies settings that may change while the process runs; addresses may not.
+   */
   applySettings(settings: ResolvedGatewaySettings): void {
     this.#services.setRetryLimits(settings.retryLimits);
     this.#drainMs = settings.drainMs;
   }
 
-  /** Listens and begins to follow the store. Rejects if it cannot listen. */
+  /**
+   * Opens the listeners and starts following the store. Rejects if it cannot
+   * listen.
+   */
   async start(): Promise<void> {
     const { settings } = this.#options;
     const { signal } = this.#stopController;
     this.#logger.log("start", "notable", { ...settings });
-    await this.#ready.open(settings.host, settings.readyPort);
+    await this.#readyServer.open(settings.host, settings.readyPort);
     await this.#server.open();
-    await this.#peers.open();
+    await this.#peerTransport.open();
     await this.#metricsServer.open(settings.host, settings.metricsPort);
     this.#views.start();
     void this.#publishMember();
-    void this.#peers.run(signal);
+    void this.#peerTransport.run(signal);
     void this.#loads.run(signal);
     void this.#services.run(signal);
-    void this.#keepers.run(signal);
+    void this.#keeperService.run(signal);
     void this.#runCatalogue(signal);
     void this.#keyTraffic.run(signal);
     void this.#demands.run(signal);
@@ -203,8 +216,9 @@
   }
 
   /**
-   * A graceful shutdown: not ready at once, duties handed over, every open
-   * connection served until its clients have left or the time is nearly over.
+   * Shuts down gracefully: reports not ready at once, hands over its duties,
+   * and serves every open connection until its client has left or the time is
+   * nearly over.
    */
   async stop(timing: ShutdownTiming): Promise<void> {
     const { clock } = this.#options;
@@ -214,28 +228,28 @@
       openRequests: this.#server.openRequests,
     });
     this.#server.drain();
-    void this.#keepers.leave();
+    void this.#keeperService.leave();
     await waitUntilDrained({
       server: this.#server,
       clock,
       timing,
-      hasKeys: () => this.#keepers.hasKeptPartitions,
+      hasKeys: () => this.#keeperService.hasKeptPartitions,
     });
     this.#close();
   }
 
   #close(): void {
-    // While there is still a socket to say it on.
-    this.#keepers.stop();
+    // Runs while the peer socket is still open, to notify other instances.
+    this.#keeperService.stop();
     this.#stopController.abort();
     this.#logger.log("stop", "notable", {
       phase: "ended",
       openRequests: this.#server.openRequests,
     });
     this.#server.close();
-    this.#ready.close();
+    this.#readyServer.close();
     this.#metricsServer.close();
-    this.#peers.close();
+    this.#peerTransport.close();
     this.#adapter.close();
     this.#logger.flush();
   }
@@ -262,16 +276,16 @@
       members: this.#members,
       duties: this.#duties,
       onConfiguration: () => this.#applyConfiguration(),
-      isKeeper: (part) => this.#keepers.hasPartition(part),
-      onTargetsRead: (slice) =>
+      isKeeper: (part) => this.#keeperService.hasPartition(part),
+      onTargetsRead: (batch) =>
         this.#relay.sendTargets(
-          slice,
+          batch,
           ({ key, value }) =>
             this.#catalogue.isChange(key, value, this.#options.clock.readMs()),
         ),
       fetchTable: (part, keeper, end) =>
         void this.#tables.fetch(part, keeper, end),
-      onConfigurationRead: (slice) => this.#relay.sendConfiguration(slice),
+      onConfigurationRead: (batch) => this.#relay.sendConfiguration(batch),
       observe: (event) => this.#reporter.observeStoreView(event),
       reportFault: (message) => this.#reporter.reportFault(message),
     }, this.#stopController.signal);
@@ -284,7 +298,8 @@
       instance: settings.instance,
       dataCentre: settings.dataCentre,
       duties: this.#duties,
-      send: (members, message) => void this.#peers.send(members, message),
+      send: (members, message) =>
+        void this.#peerTransport.send(members, message),
     };
   }
 
@@ -304,7 +319,7 @@
     });
   }
 
-  #createTurns(): TargetRateLimiter {
+  #createRateLimiter(): TargetRateLimiter {
     const { clock } = this.#options;
     return new TargetRateLimiter({
       ...this.#createPeerOptions(),
@@ -324,18 +339,18 @@
       accounts: this.#accounts,
       quarantine: this.#quarantine,
       limits: this.#limits,
-      rateLimiter: this.#turns,
+      rateLimiter: this.#rateLimiter,
       observeKey: (route, key) => this.#keyTraffic.observe(route, key),
       refreshOwners: (service) =>
-        this.#views.handleOwnerMiss(this.#choosePart(service)),
+        this.#views.handleOwnerMiss(this.#choosePartition(service)),
       sender: this.#adapter.sender,
       isStopping: () => this.#isStopping,
-      getWithdrawalGraceMs: (reason) => this.#getWithdrawnUseMs(reason),
+      getWithdrawalGraceMs: (reason) => this.#getWithdrawalGraceMs(reason),
       observe: (event) => this.#reporter.observeRequest(event),
     });
   }
 
-  #getWithdrawnUseMs(reason: WithdrawalReason): number {
+  #getWithdrawalGraceMs(reason: WithdrawalReason): number {
     switch (reason) {
       case "leaving":
         return this.#drainMs - LEAVING_MARGIN_MS;
@@ -357,9 +372,9 @@
     });
   }
 
-  #createKeepers(): KeeperService {
+  #createKeeperService(): KeeperService {
     const { settings, clock } = this.#options;
-    const guard = new SuspensionDetector(clock, {
+    const detector = new SuspensionDetector(clock, {
       readWallMs: Date.now,
       observe: (jumpMs) =>
         this.#logger.log("clock-jump", "notable", { jumpMs }),
@@ -375,12 +390,12 @@
       listServiceSnapshots: (part) =>
         this.#keyTraffic.listServiceSnapshots(part),
       getView: (part) => this.#views.getOwnersView(part),
-      getTrustedSinceMs: () => guard.checkTrustedSinceMs(),
+      getTrustedSinceMs: () => detector.checkTrustedSinceMs(),
       hasEnded: (holder) => this.#catalogue.hasEnded(holder),
       isAlive: (name) => this.#members.isAlive(name, clock.readMs()),
       listAlive: () => this.#duties.listHeartbeatSenders(),
       isCandidate: () => this.#duties.isCandidate(),
-      sendToPeer: (name, message) => this.#sendTo(name, message),
+      sendToPeer: (name, message) => this.#sendToPeer(name, message),
       refreshMembers: () => this.#views.scheduleMembersRead(),
       hasInstanceEnded: (claim) =>
         this.#members.hasEnded(claim.instance, claim.incarnation),
@@ -400,14 +415,14 @@
       instance: settings.instance,
       catalogue: this.#catalogue,
       services: this.#services,
-      keepers: this.#keepers,
-      turns: this.#turns,
-      choosePartition: (service) => this.#choosePart(service),
-      sendToPeer: (name, message) => this.#sendTo(name, message),
+      keepers: this.#keeperService,
+      rateLimiter: this.#rateLimiter,
+      choosePartition: (service) => this.#choosePartition(service),
+      sendToPeer: (name, message) => this.#sendToPeer(name, message),
     });
   }
 
-  #createPeers(): PeerTransport {
+  #createPeerTransport(): PeerTransport {
     const { settings, clock } = this.#options;
     return new PeerTransport({
       clock,
@@ -415,9 +430,9 @@
       port: settings.peerPort,
       instance: settings.instance,
       listHeartbeatReceivers: () => this.#duties.listHeartbeatReceivers(),
-      describeStatus: () => this.#describeStanding(),
+      describeStatus: () => this.#describeStatus(),
       isHeartbeatSender: () => this.#duties.isHeartbeatSender(),
-      handle: (message) => this.#dispatch.handle(message),
+      handle: (message) => this.#dispatcher.handle(message),
       reportFault: (message) => this.#reporter.reportFault(message),
     });
   }
@@ -429,38 +444,41 @@
       readCounts: () => this.#services.countOwnLoad(),
       applyCounts: (peer, counts) =>
         this.#services.applyPeerCounts(peer, counts),
-      describeStatus: () => this.#describeStanding(),
+      describeStatus: () => this.#describeStatus(),
     });
   }
 
-  #describeStanding(): PeerStatus {
+  #describeStatus(): PeerStatus {
     return {
       configurationEnd: this.#views.configurationEnd,
       hasLostStore: this.#views.hasLostStore,
-      ends: this.#keepers.listKeptPartitions().map((part) =>
+      ends: this.#keeperService.listKeptPartitions().map((part) =>
         [part, this.#relay.getTableEnd(part) ?? 0] as const
       ),
     };
   }
 
-  /** What this instance has written as a keeper need not be read by it. */
+  /**
+   * Applies the records of a keeper of this instance directly, so that they
+   * need not be read.
+   */
   #recordAppended(part: number, record: StoreRecord): void {
     const base = record.offset;
     const records = [record];
-    const slice = { base, end: base + 1, ageMs: 0, sinceOutageMs: null };
-    this.#views.getOwnersView(part)?.applyBatch({ ...slice, records });
+    const range = { base, end: base + 1, ageMs: 0, sinceOutageMs: null };
+    this.#views.getOwnersView(part)?.applyBatch({ ...range, records });
   }
 
   #sendOwnRecord(offset: number, record: string): void {
     const { instance: from } = this.#options.settings;
     const message = { kind: "member", from, offset, record } as const;
-    this.#peers.send(this.#members.listPeers(), message);
+    this.#peerTransport.send(this.#members.listPeers(), message);
   }
 
-  #sendTo(instance: string, message: PeerMessage): void {
+  #sendToPeer(instance: string, message: PeerMessage): void {
     const member = this.#members.get(instance);
     if (member !== undefined) {
-      this.#peers.send([member], message);
+      this.#peerTransport.send([member], message);
     }
   }
 
@@ -473,12 +491,12 @@
     this.#services.update();
     for (const service of table.services.values()) {
       if (service.keyed) {
-        this.#views.startOwnersView(this.#choosePart(service.name));
+        this.#views.startOwnersView(this.#choosePartition(service.name));
       }
     }
   }
 
-  #choosePart(service: string): number {
+  #choosePartition(service: string): number {
     return choosePartition(service, this.#adapter.storeLayout.owners.parts);
   }
 
@@ -493,8 +511,8 @@
         incarnation: this.#incarnation,
         dataCentre: settings.dataCentre,
         host: settings.host,
-        port: this.#peers.port,
-        statusPort: this.#ready.port,
+        port: this.#peerTransport.port,
+        statusPort: this.#readyServer.port,
         cores: settings.cores,
       },
       announce: (offset, record) => this.#sendOwnRecord(offset, record),
@@ -508,9 +526,9 @@
     while (!signal.aborted) {
       if (this.#catalogue.advance(clock.readMs())) {
         this.#services.update();
-        this.#keepers.schedulePlans();
+        this.#keeperService.schedulePlans();
       }
-      this.#turns.expire();
+      this.#rateLimiter.expire();
       this.#status.logReadinessChange();
       this.#status.logDutyChange();
       await sleepUntilTick(clock, CATALOGUE_TICK_MS, signal);
@@ -550,7 +568,7 @@
       getOwnersView: (part) => this.#views.getOwnersView(part),
       fetchTable: (part, keeper, end) =>
         void this.#tables.fetch(part, keeper, end),
-      send: (members, message) => this.#peers.send(members, message),
+      send: (members, message) => this.#peerTransport.send(members, message),
     });
   }
 
@@ -563,18 +581,20 @@
       findMember: (name) => this.#members.get(name),
       getOwnersView: (part) => this.#views.getOwnersView(part),
       getTableEnd: (part) =>
-        this.#keepers.isKeeper(part)
+        this.#keeperService.isKeeper(part)
           ? this.#relay.getTableEnd(part)
           : undefined,
       listServices: (part) => this.#listKeyedServices(part),
-      send: (members, message) => this.#peers.send(members, message),
+      send: (members, message) => this.#peerTransport.send(members, message),
     });
   }
 
   #listKeyedServices(part: number): readonly string[] {
     const services = [...this.#catalogue.table?.services.values() ?? []];
     return services
-      .filter(({ name, keyed }) => keyed && this.#choosePart(name) === part)
+      .filter(({ name, keyed }) =>
+        keyed && this.#choosePartition(name) === part
+      )
       .map(({ name }) => name);
   }
 
@@ -584,16 +604,20 @@
       instance: this.#options.settings.instance,
       accounts: this.#accounts,
       listPeers: () => this.#members.listPeers(),
-      send: (member, message) => void this.#peers.send([member], message),
+      send: (member, message) =>
+        void this.#peerTransport.send([member], message),
     });
   }
 
-  /** Where it listens; ports of 0 in the settings have been picked. */
+  /**
+   * The ports in use; a port of 0 in the settings is replaced by the actual
+   * one.
+   */
   get ports(): InstancePorts {
     return {
       request: this.#server.port,
-      status: this.#ready.port,
-      peer: this.#peers.port,
+      status: this.#readyServer.port,
+      peer: this.#peerTransport.port,
       metrics: this.#metricsServer.port,
     };
   }
--- a/packages/gateway/src/instance_options.ts
+++ b/packages/gateway/src/instance_options.ts
@@ -1,4 +1,4 @@
-/** What an instance is put together from. */
+/** The options of an instance, with the adapter to its platform. */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Result } from "@lentilspur/outcomes/result";
 import type { HeaderField } from "@lentilspur/ports/header_field";
@@ -15,7 +15,7 @@
   StoreLayout,
 } from "./gateway_settings.ts";
 
-/** What an adapter brings: calls, and how its messages are read. */
+/** The calls to the platform and the decoding of its messages. */
 export interface InstanceAdapter {
   readonly store: Store;
   readonly orders: KeyOrderSender;
@@ -39,7 +39,7 @@
   }) => InstanceAdapter;
 }
 
-/** Ports of one instance, as they are in use. */
+/** The ports of one instance that are in use. */
 export interface InstancePorts {
   readonly request: number;
   readonly status: number;
--- a/packages/gateway/src/instance_status.ts
+++ b/packages/gateway/src/instance_status.ts
@@ -1,4 +1,4 @@
-/** What an instance says of itself: whether it is ready, its state, its gauges. */
+/** Describes this instance to the outside: readiness, status and gauges. */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Catalogue } from "./views/catalogue.ts";
 import type { Duty } from "./members/duties.ts";
@@ -10,23 +10,22 @@
 export interface InstanceStatusOptions {
   readonly clock: Clock;
   readonly settings: ResolvedGatewaySettings;
-  /** Drawn anew at each start of the process. */
+  /** Random, and new at each start of the process. */
   readonly incarnation: string;
   readonly catalogue: Catalogue;
   readonly logger: StructuredLogger;
-  /** Whether callers are asked to come. */
+  /** Whether callers should send requests to this instance. */
   readonly isReady: () => boolean;
-  /** What this instance does for others now. */
   readonly listDuties: () => readonly Duty[];
   /** Requests without an answer yet. */
   readonly countOpenRequests: () => number;
-  /** Requests that wait for a place. */
+  /** Requests that wait for a place at a target. */
   readonly countWaitingRequests: () => number;
   readonly countQuarantinedRequests: () => number;
   readonly countLimitedTargets: () => number;
 }
 
-/** Beside readiness, on the same port. */
+/** Served on the same port as readiness. */
 const STATUS_PATH = "/status";
 
 export class InstanceStatus {
@@ -39,17 +38,17 @@
     this.#options = options;
   }
 
-  /** Another configuration has come into force. */
+  /** Records when a new configuration comes into force. */
   recordConfiguration(): void {
     this.#inForceSinceMs = this.#options.clock.readMs();
   }
 
-  /** Logs where readiness has changed, with what decided it. */
+  /** Logs a change of readiness with its cause. */
   logReadinessChange(): void {
-    const { isReady, logger: lines, catalogue } = this.#options;
+    const { isReady, logger, catalogue } = this.#options;
     if (isReady() !== this.#wasReady) {
       this.#wasReady = isReady();
-      lines.log("ready", "notable", {
+      logger.log("ready", "notable", {
         isReady: this.#wasReady,
         configurationVersion: catalogue.table?.version ?? null,
         targets: catalogue.targetCount,
@@ -57,17 +56,17 @@
     }
   }
 
-  /** Logs where the work that falls to this instance has changed. */
+  /** Logs a change of the instance's duties. */
   logDutyChange(): void {
-    const { listDuties, logger: lines } = this.#options;
+    const { listDuties, logger } = this.#options;
     const duties = listDuties();
     if (duties.join() !== this.#duties) {
       this.#duties = duties.join();
-      lines.log("duties", "notable", { duties });
+      logger.log("duties", "notable", { duties });
     }
   }
 
-  /** Any path but one asks whether it is ready. */
+  /** Answers with the status at its path, and with readiness at any other. */
   answer(path: string): MonitoringResponse {
     if (path === STATUS_PATH) {
       return this.#answerStatus();
@@ -83,27 +82,27 @@
   readGauges(): GatewayGauges {
     const {
       catalogue,
-      logger: lines,
-      countOpenRequests: countOpen,
-      countWaitingRequests: countWaiting,
-      countQuarantinedRequests: countQuarantined,
-      countLimitedTargets: countLimited,
+      logger,
+      countOpenRequests,
+      countWaitingRequests,
+      countQuarantinedRequests,
+      countLimitedTargets,
     } = this.#options;
     return {
-      waiting: countWaiting(),
-      openRequests: countOpen(),
+      waiting: countWaitingRequests(),
+      openRequests: countOpenRequests(),
       targets: catalogue.targetCount,
       configurationVersion: catalogue.table?.version ?? 0,
-      droppedLines: lines.droppedCount,
-      quarantined: countQuarantined(),
-      limited: countLimited(),
+      droppedLines: logger.droppedCount,
+      quarantined: countQuarantinedRequests(),
+      limited: countLimitedTargets(),
       evacuated: catalogue.listEvacuated().length,
     };
   }
 
   #answerStatus(): MonitoringResponse {
     const { settings, incarnation, clock, catalogue } = this.#options;
-    const { isReady, countOpenRequests: countOpen, listDuties } = this.#options;
+    const { isReady, countOpenRequests, listDuties } = this.#options;
     const status = {
       instance: settings.instance,
       incarnation,
@@ -112,7 +111,7 @@
       configurationVersion: catalogue.table?.version ?? 0,
       inForceForMs: Math.round(clock.readMs() - this.#inForceSinceMs),
       targets: catalogue.targetCount,
-      openRequests: countOpen(),
+      openRequests: countOpenRequests(),
       duties: listDuties(),
       evacuated: catalogue.listEvacuated(),
     };
--- a/packages/gateway/src/keeper/keeper_exchange.ts
+++ b/packages/gateway/src/keeper/keeper_exchange.ts
@@ -1,14 +1,16 @@
 /**
- * What instances tell each other of the keepers of keys, besides what stands in
- * the store: whether a keeper without the store may go on, and whether one that
- * was replaced has stopped.
+ * Exchanges messages between instances about the keepers of keys, in addition
+ * to the records in the store: whether a keeper that cannot reach the store may
+ * keep acting, and whether a replaced keeper has stopped.
  *
- * Load pattern: the store serves some instances and turns the keeper away, for
- * 9 s. Without word between them, its successor would have to wait for as long
- * as the keeper might act on its own, and each key that moves meanwhile would
- * be unserved for a hold: a quarter of all requests were refused for 23 s.
+ * Load pattern: the store answers some instances but not the keeper for 9 s.
+ * Without these messages, the successor would have to wait for as long as the
+ * keeper may act without the store, and each key that moves meanwhile would be
+ * unserved for the duration of a hold: a quarter of all requests were refused
+ * for 23 s.
  *
- * Everything is sent again until it is answered; a datagram may be lost.
+ * Each message is sent again until it is answered, since a datagram may be
+ * lost.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type {
@@ -18,7 +20,7 @@
 
 export type KeeperMessage =
   | {
-    /** A keeper without the store asks to be let act on. */
+    /** A keeper that cannot reach the store asks a witness for a pledge. */
     readonly kind: "pledge-request";
     readonly from: string;
     readonly part: number;
@@ -33,35 +35,41 @@
     readonly isGiven: boolean;
   }
   | {
-    /** A newer claim stands in the store. */
+    /** The store has a newer claim than the receiver's. */
     readonly kind: "keeper-replaced";
     readonly from: string;
     readonly part: number;
     readonly term: number;
   }
   | {
-    /** The sender keeps the partition no more. */
+    /** The sender is not the keeper of the partition any more. */
     readonly kind: "keeper-stopped";
     readonly from: string;
     readonly incarnation: string;
     readonly part: number;
-    /** Of the claim that it has heard of. */
+    /** The sender acts on no claim with an offset below this one any more. */
     readonly term: number;
-    /** None of its orders may be carried out any more. */
+    /** Whether none of the sender's orders can take effect any more. */
     readonly isClean: boolean;
   };
 
-/** What changes what this instance believes of keepers. */
+/** Changes in what this instance knows about keepers, for the log. */
 export type KeeperExchangeEvent =
   | {
-    /** A keeper here is without the store and asks to be let act on. */
+    /**
+     * A keeper of this instance cannot reach the store and asks witnesses for
+     * pledges.
+     */
     readonly kind: "pledges-asked";
     readonly part: number;
     readonly term: number;
     readonly witnesses: number;
   }
   | {
-    /** Another's keeper asked; told when the answer is another than before. */
+    /**
+     * This instance answered a keeper's pledge request. Reported only if the
+     * answer differs from the previous one.
+     */
     readonly kind: "pledge-answered";
     readonly part: number;
     readonly keeper: string;
@@ -69,7 +77,7 @@
     readonly isGiven: boolean;
   }
   | {
-    /** A keeper before has said that it acts no more. */
+    /** A predecessor reported that it has stopped. */
     readonly kind: "predecessor-stopped";
     readonly part: number;
     readonly keeper: string;
@@ -89,9 +97,9 @@
   readonly clock: Clock;
   readonly claim: KeeperClaim;
   readonly pledgeMs: number;
-  /** Whether the store has answered this instance just now. */
+  /** Whether the store has answered this instance recently. */
   readonly isStoreReachable: () => boolean;
-  /** Offset of the newest claim that is known here. */
+  /** Offset of the newest claim that this instance knows. */
   readonly getNewestTerm: (part: number) => number;
   readonly getKeeper: (part: number) => OwnKeeper | undefined;
   readonly send: (instance: string, message: KeeperMessage) => void;
@@ -99,58 +107,62 @@
 }
 
 interface StopNotice {
-  /** It acts on no claim before this offset any more. */
+  /** The keeper acts on no claim with an offset below this one any more. */
   readonly term: number;
   readonly isClean: boolean;
   readonly atMs: number;
 }
 
-interface Request {
+interface PledgeRequest {
   readonly number: number;
   readonly sentAtMs: number;
 }
 
-/** A pledge counts for a little less than it was given for: clocks differ in rate. */
-const PLEDGE_SHARE = 0.9;
-/** Keepers of one partition whose statements are of use. */
-const MAX_STATEMENTS = 8;
-/** After a pause of this length a keeper asks anew, which is told of. */
-const NEW_REQUEST_MS = 2_000;
-/** Requests that may still be answered. */
+/**
+ * A keeper relies on a pledge for 90% of its duration: clocks differ in rate.
+ */
+const PLEDGE_SAFETY_FACTOR = 0.9;
+/** Stop notices kept per partition, one for each keeper. */
+const MAX_STOP_NOTICES = 8;
+/** The first pledge request after a pause of this length is logged. */
+const NEW_REQUEST_PAUSE_MS = 2_000;
+/** Most recent pledge requests, whose answers still count. */
 const MAX_REQUESTS = 20;
 
 export class KeeperExchange {
   readonly #options: KeeperExchangeOptions;
-  /** As a keeper: until when each witness lets it act, by partition. */
-  readonly #granted = new Map<number, Map<string, number>>();
-  readonly #requests: Request[] = [];
-  #number = 0;
-  /** As a witness: until when it lets the keeper of a partition act. */
+  /** Until when each witness lets this instance's keeper act, by partition. */
+  readonly #pledges = new Map<number, Map<string, number>>();
+  readonly #requests: PledgeRequest[] = [];
+  #lastNumber = 0;
+  /** As a witness: until when this instance lets a partition's keeper act. */
   readonly #pledgedUntilMs = new Map<number, number>();
-  readonly #askedAtMs = new Map<number, number>();
-  /** The last answer, so that only another one is told of. */
-  readonly #answered = new Map<number, string>();
-  /** As a successor: what keepers before have said. */
-  readonly #statements = new Map<number, Map<string, StopNotice>>();
-  /** Offset of the newest claim that others have told of, by partition. */
-  readonly #replacedBy = new Map<number, number>();
+  readonly #pledgeRequestedAtMs = new Map<number, number>();
+  /** The last answer by partition, to log only answers that differ. */
+  readonly #lastAnswers = new Map<number, string>();
+  /** As a successor: stop notices by partition and incarnation. */
+  readonly #stopNotices = new Map<number, Map<string, StopNotice>>();
+  /** Offset of the newest claim that other instances reported, by partition. */
+  readonly #replacementTerms = new Map<number, number>();
 
   constructor(options: KeeperExchangeOptions) {
     this.#options = options;
   }
 
-  /** Asks witnesses, for a keeper that the store has not answered for a while. */
+  /**
+   * Asks witnesses for pledges, for a keeper that the store does not answer.
+   */
   sendPledgeRequests(
     part: number,
     term: number,
     witnesses: readonly string[],
   ): void {
     const { clock, claim, send } = this.#options;
-    this.#number++;
-    const number = this.#number;
+    this.#lastNumber++;
+    const number = this.#lastNumber;
     const sentAtMs = clock.readMs();
     const lastAtMs = this.#requests.at(-1)?.sentAtMs ?? -Infinity;
-    if (sentAtMs - lastAtMs > NEW_REQUEST_MS) {
+    if (sentAtMs - lastAtMs > NEW_REQUEST_PAUSE_MS) {
       const kind = "pledges-asked";
       this.#options.observe({ kind, part, term, witnesses: witnesses.length });
     }
@@ -164,28 +176,30 @@
 
   hasPledges(part: number, witnesses: readonly string[]): boolean {
     const nowMs = this.#options.clock.readMs();
-    const granted = this.#granted.get(part);
+    const pledges = this.#pledges.get(part);
     return witnesses
-      .every((witness) => nowMs < (granted?.get(witness) ?? -Infinity));
+      .every((witness) => nowMs < (pledges?.get(witness) ?? -Infinity));
   }
 
-  /** Until when this instance has let the partition's keeper act; own clock. */
+  /** Until when this instance lets the partition's keeper act; own clock. */
   getPledgedUntilMs(part: number): number {
     return this.#pledgedUntilMs.get(part) ?? -Infinity;
   }
 
-  /** When a keeper last said that it is without the store; own clock. */
+  /** When a keeper without the store last asked for a pledge; own clock. */
   getPledgeRequestedAtMs(part: number): number {
-    return this.#askedAtMs.get(part) ?? -Infinity;
+    return this.#pledgeRequestedAtMs.get(part) ?? -Infinity;
   }
 
-  /** Tells a keeper that it has been replaced; it answers how it stands. */
+  /**
+   * Notifies a keeper that it has been replaced; it answers with a stop notice.
+   */
   sendReplaced(instance: string, part: number, term: number): void {
     const { claim: { instance: from }, send } = this.#options;
     send(instance, { kind: "keeper-replaced", from, part, term });
   }
 
-  /** Says of a keeper here that it acts no more, unasked. */
+  /** Sends a stop notice for a keeper of this instance without being asked. */
   sendStopped(
     part: number,
     keeper: OwnKeeper,
@@ -201,30 +215,34 @@
   }
 
   /**
-   * What an earlier keeper has said of itself, if it has. What it said of an
-   * earlier claim of its own says nothing of this one: taken for that, a keeper
-   * that had been replaced, had claimed again and was cut off then passed for
-   * stopped, and its keys went to others while it renewed them (1.2 s).
+   * The stop notice of a predecessor, if it covers the predecessor's claim. A
+   * notice that covers only an earlier claim of the same incarnation does not
+   * count. Otherwise a keeper that was replaced, claimed again and was then cut
+   * off passes for stopped, and its keys go to other targets while it still
+   * renews them (for 1.2 s).
    */
   findStopNotice(
     part: number,
     keeper: UnresolvedKeeper,
   ): StopNotice | undefined {
-    const statement = this.#statements.get(part)?.get(keeper.incarnation);
-    return statement !== undefined && statement.term > keeper.term
-      ? statement
+    const notice = this.#stopNotices.get(part)?.get(keeper.incarnation);
+    return notice !== undefined && notice.term > keeper.term
+      ? notice
       : undefined;
   }
 
-  /** Whether this instance has said that it acts on no claim before a later one. */
+  /**
+   * Whether this instance has confirmed that a newer claim replaces the claim
+   * with this term.
+   */
   hasAcceptedReplacement(part: number, term: number): boolean {
-    return term < (this.#replacedBy.get(part) ?? -Infinity);
+    return term < (this.#replacementTerms.get(part) ?? -Infinity);
   }
 
   handle(message: KeeperMessage): void {
     switch (message.kind) {
       case "pledge-request":
-        this.#answerRequest(message);
+        this.#answerPledgeRequest(message);
         return;
       case "pledge":
         this.#recordPledge(message);
@@ -233,56 +251,62 @@
         this.#answerReplaced(message);
         return;
       case "keeper-stopped":
-        this.#recordStatement(message);
+        this.#recordStopNotice(message);
         return;
     }
   }
 
-  /** The first statement of its kind tells when it had stopped at the latest. */
-  #recordStatement(message: KeeperMessage & { kind: "keeper-stopped" }): void {
+  /**
+   * The first of several equal notices gives the latest time at which the
+   * keeper can have stopped.
+   */
+  #recordStopNotice(message: KeeperMessage & { kind: "keeper-stopped" }): void {
     const { incarnation, isClean, part, term, from: keeper } = message;
-    const statements = this.#statements.get(part) ??
+    const notices = this.#stopNotices.get(part) ??
       new Map<string, StopNotice>();
-    this.#statements.set(part, statements);
-    const before = statements.get(incarnation);
-    if (before !== undefined && before.term > term) {
+    this.#stopNotices.set(part, notices);
+    const previous = notices.get(incarnation);
+    if (previous !== undefined && previous.term > term) {
       return;
     }
     const nowMs = this.#options.clock.readMs();
-    const atMs = before?.term === term ? before.atMs : nowMs;
-    if (before?.term !== term || before.isClean !== isClean) {
+    const atMs = previous?.term === term ? previous.atMs : nowMs;
+    if (previous?.term !== term || previous.isClean !== isClean) {
       const kind = "predecessor-stopped";
       this.#options.observe({ kind, part, keeper, term, isClean });
     }
-    statements.set(incarnation, { term, isClean, atMs });
-    if (statements.size > MAX_STATEMENTS) {
-      statements.delete(statements.keys().next().value!);
+    notices.set(incarnation, { term, isClean, atMs });
+    if (notices.size > MAX_STOP_NOTICES) {
+      notices.delete(notices.keys().next().value!);
     }
   }
 
   /**
-   * Refused by whoever can reach the store: it may claim, and a keeper that the
-   * store answers needs no pledge.
+   * Refuses the pledge if this instance can reach the store: this instance may
+   * claim the partition itself, and a keeper that the store answers needs no
+   * pledge.
    */
-  #answerRequest(message: KeeperMessage & { kind: "pledge-request" }): void {
+  #answerPledgeRequest(
+    message: KeeperMessage & { kind: "pledge-request" },
+  ): void {
     const {
       clock,
       claim,
       pledgeMs,
-      isStoreReachable: hasStore,
+      isStoreReachable,
       getNewestTerm,
       send,
     } = this.#options;
     const { part, term, number, from } = message;
     const nowMs = clock.readMs();
-    this.#askedAtMs.set(part, nowMs);
-    const isGiven = !hasStore() && getNewestTerm(part) <= term;
+    this.#pledgeRequestedAtMs.set(part, nowMs);
+    const isGiven = !isStoreReachable() && getNewestTerm(part) <= term;
     if (isGiven) {
       this.#pledgedUntilMs.set(part, nowMs + pledgeMs);
     }
     const answer = `${from} ${term} ${isGiven}`;
-    if (this.#answered.get(part) !== answer) {
-      this.#answered.set(part, answer);
+    if (this.#lastAnswers.get(part) !== answer) {
+      this.#lastAnswers.set(part, answer);
       const kind = "pledge-answered";
       this.#options.observe({ kind, part, keeper: from, term, isGiven });
     }
@@ -290,17 +314,21 @@
     send(from, { kind: "pledge", from: instance, part, number, isGiven });
   }
 
-  /** Counts from the request's sending, which was before the pledge was made. */
+  /**
+   * Counts the pledge from the sending of the request, which was before the
+   * witness gave the pledge.
+   */
   #recordPledge(message: KeeperMessage & { kind: "pledge" }): void {
     const { part, number, from, isGiven } = message;
-    const request = this.#requests.find((one) => one.number === number);
+    const request = this.#requests.find((sent) => sent.number === number);
     if (request === undefined || !isGiven) {
       return;
     }
-    const granted = this.#granted.get(part) ?? new Map<string, number>();
-    this.#granted.set(part, granted);
-    const untilMs = request.sentAtMs + PLEDGE_SHARE * this.#options.pledgeMs;
-    granted.set(from, Math.max(untilMs, granted.get(from) ?? -Infinity));
+    const pledges = this.#pledges.get(part) ?? new Map<string, number>();
+    this.#pledges.set(part, pledges);
+    const untilMs = request.sentAtMs +
+      PLEDGE_SAFETY_FACTOR * this.#options.pledgeMs;
+    pledges.set(from, Math.max(untilMs, pledges.get(from) ?? -Infinity));
   }
 
   #answerReplaced(message: KeeperMessage & { kind: "keeper-replaced" }): void {
@@ -311,10 +339,11 @@
       return;
     }
     keeper?.stop("replaced");
-    // An own claim may have been accepted whose answer is still on its way.
-    this.#replacedBy.set(
+    // The store may have accepted a claim of this instance whose answer is
+    // still in flight.
+    this.#replacementTerms.set(
       part,
-      Math.max(term, this.#replacedBy.get(part) ?? -Infinity),
+      Math.max(term, this.#replacementTerms.get(part) ?? -Infinity),
     );
     send(from, {
       kind: "keeper-stopped",
--- a/packages/gateway/src/keeper/keeper_fuzz_test.ts
+++ b/packages/gateway/src/keeper/keeper_fuzz_test.ts
@@ -9,10 +9,10 @@
 } from "./keeper_simulation_steps.ts";
 import { KeeperSimulation } from "./keeper_simulation.ts";
 
-const instance = fc.constantFrom(...KEEPER_INSTANCES);
-const target = fc.constantFrom(...KEEPER_TARGETS);
+const instanceArbitrary = fc.constantFrom(...KEEPER_INSTANCES);
+const targetArbitrary = fc.constantFrom(...KEEPER_TARGETS);
 
-const step: fc.Arbitrary<SimulationStep> = fc.oneof(
+const stepArbitrary: fc.Arbitrary<SimulationStep> = fc.oneof(
   {
     weight: 6,
     arbitrary: fc.record({
@@ -28,14 +28,14 @@
         "start" as const,
         "leave" as const,
       ),
-      instance,
+      instance: instanceArbitrary,
     }),
   },
   {
     weight: 3,
     arbitrary: fc.record({
       kind: fc.constant("store" as const),
-      instance,
+      instance: instanceArbitrary,
       mood: fc.constantFrom(
         "serving" as const,
         "refusing" as const,
@@ -48,7 +48,7 @@
     weight: 2,
     arbitrary: fc.record({
       kind: fc.constant("peers" as const),
-      instance,
+      instance: instanceArbitrary,
       reaches: fc.boolean(),
     }),
   },
@@ -56,7 +56,7 @@
     weight: 2,
     arbitrary: fc.record({
       kind: fc.constant("target" as const),
-      target,
+      target: targetArbitrary,
       mood: fc.constantFrom(
         "answering" as const,
         "unreachable" as const,
@@ -68,8 +68,8 @@
     weight: 2,
     arbitrary: fc.record({
       kind: fc.constant("reach" as const),
-      instance,
-      target,
+      instance: instanceArbitrary,
+      target: targetArbitrary,
       reaches: fc.boolean(),
     }),
   },
@@ -81,7 +81,7 @@
         "restart-target" as const,
         "restart-target" as const,
       ),
-      target,
+      target: targetArbitrary,
     }),
   },
   {
@@ -93,27 +93,33 @@
   },
 );
 
-/** Runs the steps; what breaks sole ownership comes back as text. */
-async function runWorld(
+/** Runs the steps and returns every violation of sole ownership as text. */
+async function runSimulation(
   steps: readonly SimulationStep[],
 ): Promise<readonly string[]> {
-  const world = new KeeperSimulation(KEEPER_TARGETS);
+  const simulation = new KeeperSimulation(KEEPER_TARGETS);
   for (const name of KEEPER_INSTANCES) {
-    world.start(name);
+    simulation.start(name);
   }
-  await world.clock.advance(2_000);
-  for (const one of steps) {
-    await runStep(world, one);
+  await simulation.clock.advance(2_000);
+  for (const step of steps) {
+    await runStep(simulation, step);
   }
-  await world.clock.advance(3_000);
-  return [...world.holders.listOverlaps(), ...world.holders.listStaleTokens()];
+  await simulation.clock.advance(3_000);
+  return [
+    ...simulation.holders.listOverlaps(),
+    ...simulation.holders.listStaleTokens(),
+  ];
 }
 
-test("no key ever has two holders, whatever fails in whatever order", async () => {
+test("no key has two holders under any sequence of failures", async () => {
   await fc.assert(
-    fc.asyncProperty(fc.array(step, { maxLength: 25 }), async (steps) => {
-      assert.deepEqual(await runWorld(steps), []);
-    }),
+    fc.asyncProperty(
+      fc.array(stepArbitrary, { maxLength: 25 }),
+      async (steps) => {
+        assert.deepEqual(await runSimulation(steps), []);
+      },
+    ),
     {
       seed: Number(process.env["FUZZ_SEED"] ?? 31),
       numRuns: Number(process.env["FUZZ_RUNS"] ?? 60),
@@ -121,11 +127,12 @@
   );
 });
 
-test("counter-example: a target that has ended is told to answer", async () => {
-  // Found by seed 78, 250 runs. The ended target took grants again, which no
-  // process can do: a fault of the fake, whose ended targets now stay so.
+test("counterexample: an ended target is set to answer", async () => {
+  // Found by seed 78, 250 runs. The ended target accepted grants again, which
+  // no process can do. This was a fault of the fake: its ended targets now stay
+  // ended.
   assert.deepEqual(
-    await runWorld([
+    await runSimulation([
       { kind: "store", instance: "one", mood: "silent" },
       { kind: "kill-target", target: "b" },
       { kind: "target", target: "b", mood: "answering" },
@@ -134,12 +141,12 @@
   );
 });
 
-test("counter-example: a target ends while a renewal is on its way to it", async () => {
-  // Found by seed 6007, 500 runs. The ended target took the renewal that was
-  // sent 1 ms before, and held keys that others were granted at once: a fault of
-  // the fake, since a connection ends with its process.
+test("counterexample: a target ends while a renewal to it is in flight", async () => {
+  // Found by seed 6007, 500 runs. The ended target accepted a renewal sent 1 ms
+  // before, and held keys that others were granted at once. This was a fault of
+  // the fake: a connection ends with its process.
   assert.deepEqual(
-    await runWorld([
+    await runSimulation([
       { kind: "wait", ms: 2_616 },
       { kind: "kill-target", target: "a" },
     ]),
--- a/packages/gateway/src/keeper/keeper_service.ts
+++ b/packages/gateway/src/keeper/keeper_service.ts
@@ -1,11 +1,12 @@
 /**
- * Decides when this instance is the keeper of a partition of the table of
- * owners.
+ * Decides when this instance is the keeper of a partition of the ownership
+ * table.
  *
- * That a partition falls to it (`keeper_share`) is only a hint to claim; what
- * makes a keeper is its claim in the
- * partition. A keeper to whom the partition does not fall any more hands over:
- * it stops, says so in the partition, and the next need not wait for it.
+ * That the store's group assigns the partition to this instance is only a hint
+ * to claim. An instance becomes the keeper when the store accepts its claim,
+ * which is a record in the partition. A keeper whose partition is assigned to
+ * another instance hands over: it stops and writes a resignation into the
+ * partition, so that its successor does not need to wait.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { KeyOrderSender } from "@lentilspur/ports/key_orders";
@@ -59,7 +60,9 @@
     readonly cause: string;
   }
   | {
-    /** Earlier keepers that a keeper here waits for have changed. */
+    /**
+     * The predecessors that a keeper of this instance waits for have changed.
+     */
     readonly kind: "waits";
     readonly part: number;
     readonly awaited: readonly AwaitedPredecessor[];
@@ -80,68 +83,83 @@
   readonly timing: KeeperTiming;
   readonly claim: KeeperClaim;
   readonly topic: string;
-  /** The shortest time after which the store takes a silent member for gone. */
+  /**
+   * Shortest time after which the store may drop a member that does not join.
+   */
   readonly minMemberTtlMs: number;
-  /** Services whose tables are in a partition, with what is known of them. */
+  /** What is known of the services whose tables are in a partition. */
   readonly listServiceSnapshots: (part: number) => readonly ServiceSnapshot[];
-  /** The tail of a partition, once there is reason to follow it. */
+  /** The view of a partition, if this instance follows the partition. */
   readonly getView: (part: number) => PartitionView | undefined;
-  /** What was confirmed before this time does not count; own clock. */
+  /** Confirmations from before this time do not count; own clock. */
   readonly getTrustedSinceMs: () => number;
   readonly hasEnded: (holder: Holder) => boolean;
   readonly hasInstanceEnded: (claim: KeeperClaim) => boolean;
-  /** Later starts of instances may not be known here: reads the members. */
+  /**
+   * Reads the members' records, to learn of later incarnations of instances.
+   */
   readonly refreshMembers: () => void;
-  /** Whether an instance has been heard of just now. */
+  /** Whether an instance has sent a datagram recently. */
   readonly isAlive: (instance: string) => boolean;
   /**
-   * The other instances that may come to keep keys and are heard of, each with
-   * its present start. One that is left out and claims all the same waits as
-   * long as a keeper may act without the store at most.
+   * The other live instances that may become keepers, each with its current
+   * incarnation. An instance that is missing here and claims nevertheless waits
+   * for at most the time that a keeper may act without the store.
    */
   readonly listAlive: () => readonly KeeperClaim[];
-  /** Whether this instance is to stand ready to keep keys. */
+  /** Whether this instance is a keeper candidate. */
   readonly isCandidate: () => boolean;
   readonly sendToPeer: (instance: string, message: KeeperMessage) => void;
   readonly observe: (event: KeeperServiceEvent) => void;
-  /** Told of each table that a keeper here has written. */
+  /** Called for each table that a keeper of this instance has written. */
   readonly onTableWritten?: (written: WrittenTable) => void;
-  /** Told of each range that a keeper here has led to its new owner. */
+  /**
+   * Called for each range that a keeper of this instance has granted to its new
+   * owner.
+   */
   readonly onGranted?: (granted: GrantedRange) => void;
-  /** Told of each record that a keeper here has appended. */
+  /** Called for each record that a keeper of this instance has appended. */
   readonly onAppended?: (part: number, record: StoreRecord) => void;
-  /** Told where a partition ends that a keeper here has had to read. */
+  /**
+   * Called with the end of a partition that a keeper of this instance has read
+   * after an append whose answer was lost.
+   */
   readonly onResolved?: (part: number, end: number) => void;
-  /** Told of each claim that was accepted here. */
+  /** Called for each claim of this instance that the store has accepted. */
   readonly onClaim?: (part: number, term: number) => void;
 }
 
-/** Between two looks at whether to claim. */
+/** Interval between checks whether to claim. */
 const TICK_MS = 100;
 /** A keeper asks for pledges once the store has not answered for this long. */
-const ASK_AFTER_MS = 1_000;
-/** Datagrams that are to be answered go out again after this. */
-const RESEND_MS = 300;
-/** Between two reads of the members by a keeper that waits. */
-const REFRESH_MS = 2_000;
-/** The store has answered this instance within this; it joins every 0.5 s. */
-const STORE_CONTACT_MS = 1_200;
-/** So long a live predecessor has to hand over before it is replaced. */
-const HAND_OVER_MS = 1_500;
+const PLEDGE_REQUEST_AFTER_MS = 1_000;
+/** Interval at which datagrams are sent again until they are answered. */
+const RESEND_INTERVAL_MS = 300;
+/** Interval between reads of the members by a keeper that waits. */
+const REFRESH_INTERVAL_MS = 2_000;
+/**
+ * The store counts as reachable for this long after an answer. An instance in
+ * the group joins every 0.5 s.
+ */
+const STORE_CONTACT_TTL_MS = 1_200;
+/** How long a live predecessor may take to hand over before it is replaced. */
+const HANDOVER_TIMEOUT_MS = 1_500;
 
 export class KeeperService {
   readonly #options: KeeperServiceOptions;
   readonly #keepers = new Map<number, KeyKeeper>();
   readonly #assignment: PartitionAssignment;
   readonly #claiming = new Set<number>();
-  /** The last keeper of each partition here, also once it has stopped. */
+  /** This instance's last keeper of each partition, running or stopped. */
   readonly #latestKeepers = new Map<number, KeyKeeper>();
   readonly #predecessors = new Map<number, PredecessorTracker>();
   readonly #exchange: KeeperExchange;
-  /** Whom the keeper of each partition waits for, as last told. */
+  /**
+   * The predecessors that each partition's keeper waits for, as last reported.
+   */
   readonly #reportedAwaited = new Map<number, string>();
-  #sentAtMs = -Infinity;
-  #refreshedAtMs = -Infinity;
+  #lastSentAtMs = -Infinity;
+  #lastRefreshedAtMs = -Infinity;
 
   constructor(options: KeeperServiceOptions) {
     this.#options = options;
@@ -150,7 +168,7 @@
       clock: options.clock,
       claim: options.claim,
       pledgeMs: options.timing.pledgeMs,
-      isStoreReachable: () => this.#hasStore(),
+      isStoreReachable: () => this.#isStoreReachable(),
       getNewestTerm: (part) => this.#getNewestTerm(part),
       getKeeper: (part) => this.#latestKeepers.get(part),
       send: options.sendToPeer,
@@ -158,7 +176,7 @@
     });
   }
 
-  /** What another instance tells of keepers. */
+  /** Handles a message about keepers from another instance. */
   applyMessage(message: KeeperMessage): void {
     this.#exchange.handle(message);
   }
@@ -167,14 +185,14 @@
     await Promise.all([this.#assignment.run(signal), this.#runClaims(signal)]);
   }
 
-  /** Targets have changed: keepers look at once. */
+  /** Makes all keepers plan at once, since targets have changed. */
   schedulePlans(): void {
     for (const keeper of this.#keepers.values()) {
       keeper.schedulePlan();
     }
   }
 
-  /** Whether any partition is kept here. */
+  /** Whether this instance keeps any partition. */
   get hasKeptPartitions(): boolean {
     return this.#keepers.size > 0;
   }
@@ -183,29 +201,29 @@
     return this.#keepers.get(part)?.hasStopped === false;
   }
 
-  /** Partitions that are kept here. */
+  /** Partitions that a running keeper of this instance keeps. */
   listKeptPartitions(): readonly number[] {
     return [...this.#keepers.keys()].filter((part) => this.isKeeper(part));
   }
 
-  /** Whether a partition falls to this instance, or is kept here still. */
+  /** Whether a partition is assigned to this instance or still kept by it. */
   hasPartition(part: number): boolean {
     return this.#assignment.has(part) || this.#keepers.has(part);
   }
 
-  /** Whom the partition names as its keeper. */
+  /** The keeper that the partition's record names. */
   findKeeper(part: number): KeeperClaim | undefined {
     const record = this.#options.getView(part)?.getRecord(KEEPER_KEY);
     return record === undefined ? undefined : parseClaim(record.value);
   }
 
-  /** Hands everything over, for a stop. */
+  /** Hands over all partitions before this instance shuts down. */
   async leave(): Promise<void> {
     await this.#assignment.leave();
     await this.#transferKeepers();
   }
 
-  /** The process ends: no order more, and others are told. */
+  /** Stops all keepers and notifies other instances, since the process ends. */
   stop(): void {
     this.#assignment.stop();
     for (const [part, keeper] of this.#keepers) {
@@ -228,31 +246,38 @@
     this.stop();
   }
 
-  #hasStore(): boolean {
-    const { clock, getView: getTail } = this.#options;
-    const contacts = [
+  #isStoreReachable(): boolean {
+    const { clock, getView } = this.#options;
+    const confirmedTimes = [
       ...this.#assignment.listAssigned().keys(),
       ...this.#keepers.keys(),
     ]
-      .map((part) => getTail(part)?.storeConfirmedAtMs ?? -Infinity);
-    const latestMs = Math.max(this.#assignment.lastJoinedAtMs, ...contacts);
-    return clock.readMs() - latestMs < STORE_CONTACT_MS;
+      .map((part) => getView(part)?.storeConfirmedAtMs ?? -Infinity);
+    const latestMs = Math.max(
+      this.#assignment.lastJoinedAtMs,
+      ...confirmedTimes,
+    );
+    return clock.readMs() - latestMs < STORE_CONTACT_TTL_MS;
   }
 
   #getNewestTerm(part: number): number {
-    const known = this.#options.getView(part)?.getRecord(KEEPER_KEY)?.offset;
-    return Math.max(known ?? -1, this.#latestKeepers.get(part)?.term ?? -1);
+    const knownTerm = this.#options.getView(part)?.getRecord(KEEPER_KEY)
+      ?.offset;
+    return Math.max(knownTerm ?? -1, this.#latestKeepers.get(part)?.term ?? -1);
   }
 
-  /** Requests of keepers without the store, and news to replaced ones. */
+  /**
+   * Sends pledge requests for keepers without the store, and notices to
+   * replaced keepers.
+   */
   #sendPending(): void {
     const nowMs = this.#options.clock.readMs();
-    if (nowMs - this.#sentAtMs < RESEND_MS) {
+    if (nowMs - this.#lastSentAtMs < RESEND_INTERVAL_MS) {
       return;
     }
-    this.#sentAtMs = nowMs;
+    this.#lastSentAtMs = nowMs;
     for (const [part, keeper] of this.#keepers) {
-      if (nowMs - keeper.confirmedAtMs > ASK_AFTER_MS) {
+      if (nowMs - keeper.confirmedAtMs > PLEDGE_REQUEST_AFTER_MS) {
         this.#exchange.sendPledgeRequests(
           part,
           keeper.term,
@@ -270,42 +295,50 @@
     }
   }
 
-  /** A later start of whoever is waited for would end the wait. */
+  /**
+   * Reads the members: a later incarnation of a predecessor's instance ends the
+   * wait.
+   */
   #readMembers(): void {
     const nowMs = this.#options.clock.readMs();
-    if (nowMs - this.#refreshedAtMs >= REFRESH_MS) {
-      this.#refreshedAtMs = nowMs;
+    if (nowMs - this.#lastRefreshedAtMs >= REFRESH_INTERVAL_MS) {
+      this.#lastRefreshedAtMs = nowMs;
       this.#options.refreshMembers();
     }
   }
 
-  /** Says whom a keeper here waits for, where that has changed. */
+  /**
+   * Reports the predecessors that a keeper of this instance waits for, if they
+   * have changed.
+   */
   #reportAwaited(part: number, awaited: readonly AwaitedPredecessor[]): void {
-    const names = awaited.map(({ incarnation, kind }) =>
+    const description = awaited.map(({ incarnation, kind }) =>
       `${incarnation} ${kind}`
     )
       .join();
-    if (names !== (this.#reportedAwaited.get(part) ?? "")) {
-      this.#reportedAwaited.set(part, names);
+    if (description !== (this.#reportedAwaited.get(part) ?? "")) {
+      this.#reportedAwaited.set(part, description);
       this.#options.observe({ kind: "waits", part, awaited });
     }
   }
 
-  /** Everybody heard of now, and everybody that a record may name. */
+  /** All live instances, and all that a record may name as witnesses. */
   #listWitnesses(part: number): readonly string[] {
-    const named = this.#keepers.get(part)?.listNamedWitnesses() ?? [];
-    return [...new Set([...this.#listHeard(), ...named.map(parseInstance)])];
+    const namedWitnesses = this.#keepers.get(part)?.listNamedWitnesses() ?? [];
+    return [
+      ...new Set([...this.#listAlive(), ...namedWitnesses.map(parseInstance)]),
+    ];
   }
 
-  #listHeard(): readonly string[] {
+  #listAlive(): readonly string[] {
     return this.#options.listAlive().map(({ instance }) => instance);
   }
 
-  /** The partition names another keeper: not one order more. */
+  /** Stops keepers in whose partition another instance has claimed. */
   #stopReplaced(): void {
-    const { getView: getTail } = this.#options;
+    const { getView } = this.#options;
     for (const [part, keeper] of this.#keepers) {
-      const record = getTail(part)?.getRecord(KEEPER_KEY);
+      const record = getView(part)?.getRecord(KEEPER_KEY);
       if (record !== undefined && record.offset > keeper.term) {
         keeper.stop("replaced");
       }
@@ -315,16 +348,16 @@
     }
   }
 
-  /** Keepers of partitions that fall to others now leave them. */
+  /** Hands over the partitions that are no longer assigned to this instance. */
   async #transferKeepers(): Promise<void> {
-    const leaving: Promise<void>[] = [];
+    const handovers: Promise<void>[] = [];
     for (const [part, keeper] of this.#keepers) {
       if (!this.#assignment.has(part)) {
         this.#keepers.delete(part);
-        leaving.push(this.#transferKeeper(part, keeper));
+        handovers.push(this.#transferKeeper(part, keeper));
       }
     }
-    await Promise.all(leaving);
+    await Promise.all(handovers);
   }
 
   async #transferKeeper(part: number, keeper: KeyKeeper): Promise<void> {
@@ -332,49 +365,55 @@
     this.#sendStopped(part, keeper);
   }
 
-  /** Whoever claims next may have no other way to learn when this one stopped. */
+  /**
+   * The next claimant may have no other way to learn when this keeper stopped.
+   */
   #sendStopped(part: number, keeper: KeyKeeper): void {
-    this.#exchange.sendStopped(part, keeper, this.#listHeard());
+    this.#exchange.sendStopped(part, keeper, this.#listAlive());
   }
 
   async #claimIfDue(part: number, sinceMs: number): Promise<void> {
-    const { clock, getView: getTail, listServiceSnapshots: listFacts } =
-      this.#options;
-    const tail = getTail(part);
+    const { clock, getView, listServiceSnapshots } = this.#options;
+    const view = getView(part);
     if (
-      tail === undefined || !tail.isLoaded || this.#keepers.has(part) ||
+      view === undefined || !view.isLoaded || this.#keepers.has(part) ||
       this.#assignment.isLeaving || !this.#assignment.isMember ||
       this.#claiming.has(part) ||
-      listFacts(part).length === 0
+      listServiceSnapshots(part).length === 0
     ) {
       return;
     }
-    const isHandingOver = this.#hasActiveClaim(tail) &&
+    const isHandingOver = this.#hasActiveClaim(view) &&
       this.#isKeeperAlive(part) && !this.#isKeeperWithoutStore(part);
-    if (isHandingOver && clock.readMs() - sinceMs < HAND_OVER_MS) {
+    if (isHandingOver && clock.readMs() - sinceMs < HANDOVER_TIMEOUT_MS) {
       return;
     }
     this.#claiming.add(part);
-    await this.#claim(part, tail);
+    await this.#claim(part, view);
     this.#claiming.delete(part);
   }
 
-  /** A keeper that has lost the store can not hand over in it. */
+  /**
+   * Whether the keeper has lost the store: it cannot write a resignation then.
+   */
   #isKeeperWithoutStore(part: number): boolean {
-    const askedAtMs = this.#exchange.getPledgeRequestedAtMs(part);
-    return this.#options.clock.readMs() - askedAtMs < HAND_OVER_MS;
+    const requestedAtMs = this.#exchange.getPledgeRequestedAtMs(part);
+    return this.#options.clock.readMs() - requestedAtMs < HANDOVER_TIMEOUT_MS;
   }
 
-  /** A keeper that lives will hand over; one that was lost never does. */
+  /**
+   * Whether the keeper is alive and will hand over; a lost keeper never does.
+   */
   #isKeeperAlive(part: number): boolean {
     const keeper = this.findKeeper(part);
     return keeper !== undefined && this.#options.isAlive(keeper.instance);
   }
 
-  async #claim(part: number, tail: PartitionView): Promise<void> {
+  async #claim(part: number, view: PartitionView): Promise<void> {
     const { clock, store, topic, claim, observe } = this.#options;
     const partition = { topic, part };
-    // Read anew: what other instances passed on is good for routing only.
+    // Reads the store again: records that other instances forwarded are good
+    // enough for routing only.
     const read = await store.readNewest(partition);
     if (!read.ok) {
       observe({ kind: "claim-failed", partition, cause: read.val.kind });
@@ -384,16 +423,16 @@
       return;
     }
     const { records, end: at } = read.val;
-    const standing = parsePartitionState(records, at);
-    for (const message of standing.faults) {
+    const state = parsePartitionState(records, at);
+    for (const message of state.faults) {
       observe({ kind: "record-fault", message });
     }
-    const earlier = this.#createEarlier(part, standing);
+    const predecessors = this.#createPredecessorTracker(part, state);
     const sentAtMs = clock.readMs();
     const appended = await store.append({
       partition,
       key: KEEPER_KEY,
-      value: JSON.stringify({ ...claim, unresolved: earlier.listAll() }),
+      value: JSON.stringify({ ...claim, unresolved: predecessors.listAll() }),
       at,
     });
     if (!appended.ok) {
@@ -404,33 +443,36 @@
     if (this.#exchange.hasAcceptedReplacement(part, term)) {
       return;
     }
-    earlier.recordClaimed();
-    this.#predecessors.set(part, earlier);
-    const predecessor = earlier.computeState().kind;
+    predecessors.recordClaimed();
+    this.#predecessors.set(part, predecessors);
+    const predecessor = predecessors.computeState().kind;
     observe({ kind: "claimed", partition, term, predecessor });
     this.#options.onClaim?.(part, term);
-    this.#startKeeper({ part, term, tail, standing, earlier, sentAtMs });
+    this.#startKeeper({ part, term, view, state, predecessors, sentAtMs });
   }
 
-  #createEarlier(part: number, standing: PartitionState): PredecessorTracker {
+  #createPredecessorTracker(
+    part: number,
+    state: PartitionState,
+  ): PredecessorTracker {
     const { clock, timing, claim, hasInstanceEnded } = this.#options;
     const peers = this.#exchange;
     return new PredecessorTracker(
       { clock, timing, claim, peers, hasInstanceEnded },
       part,
-      standing,
+      state,
     );
   }
 
   #startKeeper(options: {
     readonly part: number;
     readonly term: number;
-    readonly tail: PartitionView;
-    readonly standing: PartitionState;
-    readonly earlier: PredecessorTracker;
+    readonly view: PartitionView;
+    readonly state: PartitionState;
+    readonly predecessors: PredecessorTracker;
     readonly sentAtMs: number;
   }): void {
-    const { part, term, tail, standing, earlier, sentAtMs } = options;
+    const { part, term, view, state, predecessors, sentAtMs } = options;
     const {
       clock,
       store,
@@ -438,7 +480,7 @@
       topic,
       timing,
       claim,
-      listServiceSnapshots: listFacts,
+      listServiceSnapshots,
       hasEnded,
     } = this.#options;
     const partition = { topic, part };
@@ -451,16 +493,16 @@
       term,
       claimSentAtMs: sentAtMs,
       claim,
-      tables: standing.tables,
-      getPredecessor: () => earlier.computeState(),
-      listServiceSnapshots: () => listFacts(part),
+      tables: state.tables,
+      getPredecessor: () => predecessors.computeState(),
+      listServiceSnapshots: () => listServiceSnapshots(part),
       hasEnded,
       listWitnesses: () =>
         this.#options.listAlive().map(formatIncarnation).toSorted(),
-      listUnresolved: () => earlier.listUnresolved(),
+      listUnresolved: () => predecessors.listUnresolved(),
       hasPledges: () =>
         this.#exchange.hasPledges(part, this.#listWitnesses(part)),
-      getConfirmedAtMs: () => tail.storeConfirmedAtMs,
+      getConfirmedAtMs: () => view.storeConfirmedAtMs,
       getTrustedSinceMs: this.#options.getTrustedSinceMs,
       observe: (event) =>
         this.#options.observe({ kind: "keeper", partition, event }),
@@ -475,9 +517,9 @@
     void keeper.run();
   }
 
-  #hasActiveClaim(tail: PartitionView): boolean {
+  #hasActiveClaim(view: PartitionView): boolean {
     const { claim: own, hasInstanceEnded } = this.#options;
-    const record = tail.getRecord(KEEPER_KEY);
+    const record = view.getRecord(KEEPER_KEY);
     const claim = record && parseClaim(record.value);
     if (claim === undefined) {
       return record !== undefined;
@@ -487,7 +529,7 @@
   }
 }
 
-/** The instance of a text that `formatIncarnation` gave. */
+/** Returns the instance in a text made by `formatIncarnation`. */
 function parseInstance(text: string): string {
   return text.slice(0, text.lastIndexOf("/"));
 }
--- a/packages/gateway/src/keeper/keeper_simulation.ts
+++ b/packages/gateway/src/keeper/keeper_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A world of instances that keep keys, in virtual time: a store, targets, and
- * instances that are killed, cut off, and started again. For tests.
+ * Simulates instances that keep keys, in virtual time: a store, targets, and
+ * instances that are killed, cut off and restarted. For tests.
  */
 import { FakeKeyHolders } from "@lentilspur/ports/fake_key_holders";
 import { FakeStore } from "@lentilspur/ports/fake_store";
@@ -14,10 +14,10 @@
 
 export const OWNERS_PARTITION = { topic: "owners", part: 0 };
 const SERVICE = "files";
-/** Targets write about once a second, and reads are a little later. */
+/** Targets write about once a second, and reads come a little later. */
 const ENTRY_LAG_MS = 1_200;
-const DATAGRAM_MS = 1;
-const READ_MS = 4;
+const DATAGRAM_DELAY_MS = 1;
+const READ_DELAY_MS = 4;
 
 interface RunningInstance {
   readonly incarnation: string;
@@ -31,15 +31,15 @@
   readonly holders = new FakeKeyHolders(this.clock);
   readonly events: KeeperServiceEvent[] = [];
   readonly #instances = new Map<string, RunningInstance>();
-  /** Present incarnation of each instance, as its record says. */
+  /** Current incarnation of each instance, as in its member record. */
   readonly #incarnations = new Map<string, string>();
   readonly #unreachable = new Set<string>();
-  readonly #gone = new Set<string>();
-  /** Instances that no datagram leaves or reaches. */
-  readonly #silent = new Set<string>();
+  readonly #endedTargets = new Set<string>();
+  /** Instances whose datagrams are lost in both directions. */
+  readonly #disconnected = new Set<string>();
   readonly #bornMs = new Map<string, number>();
   #candidates: readonly string[];
-  #starts = 0;
+  #startCount = 0;
 
   constructor(candidates: readonly string[]) {
     this.#candidates = candidates;
@@ -47,11 +47,11 @@
 
   start(instance: string): void {
     this.kill(instance);
-    this.#starts++;
-    const incarnation = `${instance}.${this.#starts}`;
+    this.#startCount++;
+    const incarnation = `${instance}.${this.#startCount}`;
     const stop = new AbortController();
     const store = this.store.createClient(instance);
-    const tail = new PartitionView({
+    const view = new PartitionView({
       clock: this.clock,
       store,
       partition: OWNERS_PARTITION,
@@ -64,7 +64,7 @@
       apply: () => undefined,
       observe: () => undefined,
     });
-    // Its own record, and those of others that start later, come by a read.
+    // An instance learns of itself and of later restarts of others by a read.
     const members = new Map(this.#incarnations);
     members.delete(instance);
     const service = new KeeperService({
@@ -82,40 +82,40 @@
         candidates: this.#candidates.map((id) => this.#createCandidate(id)),
         rates: [],
       }],
-      getView: () => tail,
+      getView: () => view,
       getTrustedSinceMs: () => -Infinity,
-      hasEnded: (holder) => this.#gone.has(holder.id),
+      hasEnded: (holder) => this.#endedTargets.has(holder.id),
       hasInstanceEnded: (claim) => {
         const known = members.get(claim.instance);
         return known !== undefined && known !== claim.incarnation;
       },
       refreshMembers: () => void this.#readMembers(members),
       isAlive: (name) => this.#hasPath(name, instance),
-      listAlive: () => this.#listHeard(instance),
+      listAlive: () => this.#listAlive(instance),
       isCandidate: () => true,
-      sendToPeer: (name, message) => this.#sendPeer(instance, name, message),
+      sendToPeer: (name, message) => this.#sendToPeer(instance, name, message),
       observe: (event) => this.events.push(event),
     });
     this.#incarnations.set(instance, incarnation);
     this.#instances.set(instance, { incarnation, stop, service });
-    void tail.run(stop.signal);
+    void view.run(stop.signal);
     void service.run(stop.signal);
   }
 
   async #readMembers(members: Map<string, string>): Promise<void> {
-    await this.clock.sleep(READ_MS);
+    await this.clock.sleep(READ_DELAY_MS);
     for (const [instance, incarnation] of this.#incarnations) {
       members.set(instance, incarnation);
     }
   }
 
-  /** The process ends at once; what it has sent may still arrive. */
+  /** Ends the process at once; calls that it has sent may still arrive. */
   kill(instance: string): void {
     this.#instances.get(instance)?.stop.abort();
     this.#instances.delete(instance);
   }
 
-  /** A graceful shutdown. */
+  /** Shuts an instance down gracefully. */
   async leave(instance: string): Promise<void> {
     await this.#instances.get(instance)?.service.leave();
     this.kill(instance);
@@ -135,25 +135,25 @@
   }
 
   setCandidates(candidates: readonly string[]): void {
-    this.#candidates = candidates.filter((id) => !this.#gone.has(id));
+    this.#candidates = candidates.filter((id) => !this.#endedTargets.has(id));
     for (const { service } of this.#instances.values()) {
       service.schedulePlans();
     }
   }
 
-  /** The target's process ends, and another one is seen at its address. */
+  /** Ends the target's process; another target is seen at its address. */
   killTarget(id: string): void {
     this.holders.kill(id);
-    this.#gone.add(id);
+    this.#endedTargets.add(id);
     this.setCandidates(this.#candidates);
   }
 
   /**
-   * The target's process starts again under its id. Its entry shows this only
-   * after `ENTRY_LAG_MS`.
+   * Restarts the target's process under the same id. The target's entry shows
+   * this only after `ENTRY_LAG_MS`.
    */
   restartTarget(id: string): void {
-    if (this.#gone.has(id)) {
+    if (this.#endedTargets.has(id)) {
       return;
     }
     this.holders.restart(id);
@@ -164,38 +164,38 @@
     });
   }
 
-  /** Whether an instance's datagrams reach others, and theirs it. */
+  /** Sets whether datagrams pass between an instance and all others. */
   setPeerConnectivity(instance: string, reaches: boolean): void {
     if (reaches) {
-      this.#silent.delete(instance);
+      this.#disconnected.delete(instance);
     } else {
-      this.#silent.add(instance);
+      this.#disconnected.add(instance);
     }
   }
 
   #hasPath(from: string, to: string): boolean {
     return this.#instances.has(from) && this.#instances.has(to) &&
-      !this.#silent.has(from) && !this.#silent.has(to);
+      !this.#disconnected.has(from) && !this.#disconnected.has(to);
   }
 
-  #listHeard(self: string): readonly KeeperClaim[] {
+  #listAlive(self: string): readonly KeeperClaim[] {
     return [...this.#instances]
       .filter(([name]) => name !== self && this.#hasPath(name, self))
       .map(([instance, { incarnation }]) => ({ instance, incarnation }));
   }
 
-  #sendPeer(from: string, to: string, message: KeeperMessage): void {
+  #sendToPeer(from: string, to: string, message: KeeperMessage): void {
     if (!this.#hasPath(from, to)) {
       return;
     }
-    void this.clock.sleep(DATAGRAM_MS).then(() => {
+    void this.clock.sleep(DATAGRAM_DELAY_MS).then(() => {
       if (this.#hasPath(from, to)) {
         this.#instances.get(to)?.service.applyMessage(message);
       }
     });
   }
 
-  /** The instance that keeps the keys now, if one does. */
+  /** The instance that keeps the keys now, if any. */
   findKeeper(): string | undefined {
     for (const [name, { service }] of this.#instances) {
       if (service.isKeeper(OWNERS_PARTITION.part)) {
--- a/packages/gateway/src/keeper/keeper_simulation_steps.ts
+++ b/packages/gateway/src/keeper/keeper_simulation_steps.ts
@@ -1,4 +1,7 @@
-/** What can happen to the world of keepers, step by step: for fuzz and replay. */
+/**
+ * Defines the steps of a keeper simulation, for fuzz tests and for the replay
+ * of traces.
+ */
 import type { HolderFaultMode } from "@lentilspur/ports/fake_key_holders";
 import type { StoreFaultMode } from "@lentilspur/ports/fake_store";
 import type { KeeperSimulation } from "./keeper_simulation.ts";
@@ -15,7 +18,7 @@
     readonly mood: StoreFaultMode;
   }
   | {
-    /** Whether its datagrams reach the others, and theirs it. */
+    /** Sets whether datagrams pass between this instance and all others. */
     readonly kind: "peers";
     readonly instance: string;
     readonly reaches: boolean;
@@ -32,49 +35,53 @@
     readonly reaches: boolean;
   }
   | {
-    /** It starts again under its id. */
+    /** A restarted target keeps its id. */
     readonly kind: "kill-target" | "restart-target";
     readonly target: string;
   }
   | { readonly kind: "candidates"; readonly targets: readonly string[] };
 
 export async function runStep(
-  world: KeeperSimulation,
+  simulation: KeeperSimulation,
   step: SimulationStep,
 ): Promise<void> {
   switch (step.kind) {
     case "wait":
-      await world.clock.advance(step.ms);
+      await simulation.clock.advance(step.ms);
       return;
     case "kill":
-      world.kill(step.instance);
+      simulation.kill(step.instance);
       return;
     case "start":
-      world.start(step.instance);
+      simulation.start(step.instance);
       return;
     case "leave":
-      void world.leave(step.instance);
+      void simulation.leave(step.instance);
       return;
     case "store":
-      world.store.setFaultMode(step.instance, step.mood);
+      simulation.store.setFaultMode(step.instance, step.mood);
       return;
     case "peers":
-      world.setPeerConnectivity(step.instance, step.reaches);
+      simulation.setPeerConnectivity(step.instance, step.reaches);
       return;
     case "target":
-      world.holders.setFaultMode(step.target, step.mood);
+      simulation.holders.setFaultMode(step.target, step.mood);
       return;
     case "reach":
-      world.setTargetConnectivity(step.instance, step.target, step.reaches);
+      simulation.setTargetConnectivity(
+        step.instance,
+        step.target,
+        step.reaches,
+      );
       return;
     case "kill-target":
-      world.killTarget(step.target);
+      simulation.killTarget(step.target);
       return;
     case "restart-target":
-      world.restartTarget(step.target);
+      simulation.restartTarget(step.target);
       return;
     case "candidates":
-      world.setCandidates(step.targets);
+      simulation.setCandidates(step.targets);
       return;
   }
 }
--- a/packages/gateway/src/keeper/key_traffic.ts
+++ b/packages/gateway/src/keeper/key_traffic.ts
@@ -1,7 +1,7 @@
 /**
- * How often keys are asked for: what this instance sees of it goes to the
- * keeper of their service, and what it hears as a keeper becomes what moves of
- * keys are planned by.
+ * Tracks how often keys are requested: reports this instance's requests to the
+ * keeper of their service, and as a keeper collects such reports, from which
+ * the request rates for planning moves of keys are computed.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Route, RoutingTarget } from "@lentilspur/ports/routing_table";
@@ -24,60 +24,65 @@
   readonly catalogue: Catalogue;
   readonly services: ServiceRegistry;
   readonly keepers: KeeperService;
-  readonly turns: TargetRateLimiter;
+  readonly rateLimiter: TargetRateLimiter;
   readonly choosePartition: (service: string) => number;
   readonly sendToPeer: (instance: string, message: PeerMessage) => void;
 }
 
-/** Keys that were asked for go to their keeper this often. */
-const KEY_REPORT_MS = 200;
+/** Interval between reports of requested keys to their keeper. */
+const REPORT_INTERVAL_MS = 200;
 /**
- * Speeds that fit into a datagram beside the keys; each report carries the next
- * ones. All at once they are too long with 50 targets or with 200 keys, and the
- * datagram was not sent at all: the keeper knew no speeds there.
+ * Service times that fit into a datagram besides the keys; each report carries
+ * the next ones. With 50 targets or with 200 keys, all of them together were
+ * too long: the datagram was not sent, and the keeper had no service times.
  */
-const SPEEDS_PER_REPORT = 10;
-/** A dozen instances report twice in 4 s; some reports even out a sample. */
-const PEER_MEASURE_WEIGHT = 0.3;
-/** Until anything is measured; about the work of a lookup. */
-const UNKNOWN_SERVICE_MS = 100;
+const SERVICE_TIMES_PER_REPORT = 10;
+/**
+ * Weight of a new report in the moving average of a service time. A dozen
+ * instances report twice in 4 s, so several reports even out a sample.
+ */
+const REPORT_WEIGHT = 0.3;
+/** Service time before the first measurement; about that of a lookup. */
+const DEFAULT_SERVICE_MS = 100;
 
 export class KeyTraffic {
   readonly #options: KeyTrafficOptions;
-  readonly #keyReport = new RequestedKeys();
+  readonly #requestedKeys = new RequestedKeys();
   readonly #keyLoads = new Map<string, KeyLoad>();
   readonly #serviceMs = new Map<string, number>();
-  /** Which speed of a service is told next. */
-  readonly #nextSpeed = new Map<string, number>();
+  /** Index of the next service time to report, by service. */
+  readonly #nextServiceTime = new Map<string, number>();
 
   constructor(options: KeyTrafficOptions) {
     this.#options = options;
   }
 
-  /** Counts the key of a request, where a service that it may go to is keyed. */
+  /**
+   * Counts the key of a request for each keyed service that its route names.
+   */
   observe(route: Route, key: number): void {
     const { table } = this.#options.catalogue;
     for (const { service } of route.parts) {
       if (table?.services.get(service)?.keyed === true) {
-        this.#keyReport.observe(service, key);
+        this.#requestedKeys.observe(service, key);
       }
     }
   }
 
-  /** Takes in what an instance has told of keys. */
+  /** Applies a report of requested keys from an instance. */
   apply(message: KeysMessage): void {
     const nowMs = this.#options.clock.readMs();
     this.#getKeyLoad(message.service).observe(message.keys, nowMs);
     for (const [id, ms] of Object.entries(message.serviceMs)) {
-      const before = this.#serviceMs.get(id) ?? ms;
-      this.#serviceMs.set(id, before + PEER_MEASURE_WEIGHT * (ms - before));
+      const previousMs = this.#serviceMs.get(id) ?? ms;
+      this.#serviceMs.set(id, previousMs + REPORT_WEIGHT * (ms - previousMs));
     }
   }
 
-  /** What a keeper of this partition needs to know. */
+  /** What a keeper of this partition needs to know for its plans. */
   listServiceSnapshots(part: number): readonly ServiceSnapshot[] {
     const nowMs = this.#options.clock.readMs();
-    const facts: ServiceSnapshot[] = [];
+    const snapshots: ServiceSnapshot[] = [];
     for (
       const service of this.#options.catalogue.table?.services.values() ?? []
     ) {
@@ -86,29 +91,30 @@
       ) {
         continue;
       }
-      const usualMs = this.#options.services.getUsualServiceMs(service.name) ??
-        UNKNOWN_SERVICE_MS;
+      const averageMs =
+        this.#options.services.getUsualServiceMs(service.name) ??
+          DEFAULT_SERVICE_MS;
       const { catalogue } = this.#options;
       const candidates = catalogue.listTargets(service.name)
         .filter((target) =>
           !target.leaving && !catalogue.isEvacuated(target.dataCentre)
         )
-        .map((target) => this.#createCandidate(target, usualMs));
+        .map((target) => this.#createCandidate(target, averageMs));
       const rates = this.#getKeyLoad(service.name).listRates(nowMs);
-      facts.push({ service: service.name, candidates, rates });
+      snapshots.push({ service: service.name, candidates, rates });
     }
-    return facts;
+    return snapshots;
   }
 
-  #createCandidate(target: RoutingTarget, usualMs: number): OwnerCandidate {
+  #createCandidate(target: RoutingTarget, averageMs: number): OwnerCandidate {
     const { id, address, bornMs, places } = target;
-    const limitPerSecond = this.#options.turns.getLimitPerSecond(target);
+    const limitPerSecond = this.#options.rateLimiter.getLimitPerSecond(target);
     return {
       id,
       address,
       ...(bornMs === undefined ? {} : { bornMs }),
       places,
-      serviceMs: this.#serviceMs.get(id) ?? usualMs,
+      serviceMs: this.#serviceMs.get(id) ?? averageMs,
       ...(limitPerSecond === undefined ? {} : { limitPerSecond }),
     };
   }
@@ -119,27 +125,27 @@
     return load;
   }
 
-  /** Reports until the signal aborts. */
+  /** Sends reports until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, instance: from } = this.#options;
     while (!signal.aborted) {
-      for (const [service, keys] of this.#keyReport.take()) {
-        const serviceMs = this.#takeSpeeds(service);
+      for (const [service, keys] of this.#requestedKeys.take()) {
+        const serviceMs = this.#takeServiceTimes(service);
         this.#sendToKeeper({ kind: "keys", from, service, keys, serviceMs });
       }
-      await sleepUntilTick(clock, KEY_REPORT_MS, signal);
+      await sleepUntilTick(clock, REPORT_INTERVAL_MS, signal);
     }
   }
 
-  /** The next few speeds of a service's targets, in turn. */
-  #takeSpeeds(service: string): Readonly<Record<string, number>> {
-    const speeds = Object.entries(
+  /** The next few service times of a service's targets, in rotation. */
+  #takeServiceTimes(service: string): Readonly<Record<string, number>> {
+    const serviceTimes = Object.entries(
       this.#options.services.listServiceMs(service),
     );
-    const first = this.#nextSpeed.get(service) ?? 0;
-    const next = speeds.slice(first, first + SPEEDS_PER_REPORT);
-    const end = first + SPEEDS_PER_REPORT;
-    this.#nextSpeed.set(service, end >= speeds.length ? 0 : end);
+    const first = this.#nextServiceTime.get(service) ?? 0;
+    const next = serviceTimes.slice(first, first + SERVICE_TIMES_PER_REPORT);
+    const end = first + SERVICE_TIMES_PER_REPORT;
+    this.#nextServiceTime.set(service, end >= serviceTimes.length ? 0 : end);
     return Object.fromEntries(next);
   }
 
--- a/packages/gateway/src/keeper/partition_assignment.ts
+++ b/packages/gateway/src/keeper/partition_assignment.ts
@@ -1,7 +1,7 @@
 /**
- * Which partitions of the table of owners fall to this instance: the store's
- * group of keepers divides them among the instances that have joined. A hint to
- * claim, and no right.
+ * Determines which partitions of the ownership table are assigned to this
+ * instance: the store's group of keepers divides them among the instances that
+ * have joined. An assignment is a hint to claim, not a right to act.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Store } from "@lentilspur/ports/store";
@@ -24,53 +24,59 @@
   readonly store: Store;
   readonly claim: KeeperClaim;
   readonly topic: string;
-  /** The shortest time after which the store takes a silent member for gone. */
+  /**
+   * Shortest time after which the store may drop a member that does not join.
+   */
   readonly minMemberTtlMs: number;
-  /** Whether this instance is to stand ready to keep keys. */
+  /** Whether this instance is a keeper candidate. */
   readonly isCandidate: () => boolean;
   readonly observe: (event: PartitionAssignmentEvent) => void;
 }
 
 const GROUP = "keepers";
-/** A lost keeper is replaced before the holds that it granted run out (3 s). */
+/** A lost keeper is replaced before the holds that it granted expire (3 s). */
 const MEMBER_TTL_MS = 1_500;
 const JOINS_PER_TTL = 3;
-/** Between two looks at whether to join; each wake-up costs about 0.1 ms. */
+/** Interval between checks whether to join; each wake-up costs about 0.1 ms. */
 const TICK_MS = 250;
-/** Between two tries to leave the group while the store is away. */
-const LEAVE_EVERY_MS = 300;
-/** A datagram or two may be lost; to leave and join moves partitions twice. */
-const LEAVE_AFTER_MS = 10_000;
+/** Delay between attempts to leave the group while the store is unavailable. */
+const LEAVE_RETRY_MS = 300;
+/**
+ * How long an instance stays in the group after it was last a candidate. The
+ * loss of one or two datagrams can end its candidacy for a moment, and leaving
+ * and rejoining moves partitions twice.
+ */
+const LEAVE_DELAY_MS = 10_000;
 
 export class PartitionAssignment {
   readonly #options: PartitionAssignmentOptions;
   readonly #assignedAt = new Map<number, number>();
   readonly #ttlMs: number;
-  #joinedAtMs = -Infinity;
+  #lastJoinedAtMs = -Infinity;
   #generation = 0;
   #isLeaving = false;
-  #hasEnded = false;
+  #isStopped = false;
 
   constructor(options: PartitionAssignmentOptions) {
     this.#options = options;
     this.#ttlMs = Math.max(MEMBER_TTL_MS, options.minMemberTtlMs);
   }
 
-  /** When the store last answered a join; own clock, from when it was sent. */
+  /** When the last join that the store answered was sent; own clock. */
   get lastJoinedAtMs(): number {
-    return this.#joinedAtMs;
+    return this.#lastJoinedAtMs;
   }
 
   /**
-   * Whether the store still counts this instance as a member, as far as is known
-   * here. Where it does not, the partitions have fallen to others.
+   * Whether the store still counts this instance as a member, judging by the
+   * time of its last join. Otherwise the partitions are assigned to others.
    */
   get isMember(): boolean {
-    const ageMs = this.#options.clock.readMs() - this.#joinedAtMs;
+    const ageMs = this.#options.clock.readMs() - this.#lastJoinedAtMs;
     return ageMs < this.#ttlMs;
   }
 
-  /** Whether this instance is about to end. */
+  /** Whether this instance is shutting down. */
   get isLeaving(): boolean {
     return this.#isLeaving;
   }
@@ -79,7 +85,7 @@
     return this.#assignedAt.has(part);
   }
 
-  /** The partitions, and since when each has fallen to this instance. */
+  /** The assigned partitions, each with the time since when it is assigned. */
   listAssigned(): ReadonlyMap<number, number> {
     return this.#assignedAt;
   }
@@ -91,40 +97,40 @@
     while (!signal.aborted && !this.#isLeaving) {
       const nowMs = clock.readMs();
       candidateAtMs = isCandidate() ? nowMs : candidateAtMs;
-      if (nowMs - candidateAtMs < LEAVE_AFTER_MS) {
+      if (nowMs - candidateAtMs < LEAVE_DELAY_MS) {
         await this.#join();
         await clock.sleep(this.#ttlMs / JOINS_PER_TTL, signal);
         continue;
       }
       if (this.#generation > 0) {
-        await this.#leaveToOthers();
+        await this.#leaveGroup();
       }
       await sleepUntilTick(clock, TICK_MS, signal);
     }
   }
 
   /**
-   * For a stop of this instance. Without the store nothing can be handed over:
-   * keepers here act on until it is back, or until the process ends. Failure: an
-   * instance is stopped in an outage of the store; had its keeper stopped at
-   * once, every key would be unserved from 3 s later until the outage is over
-   * (4 s, all lookups).
+   * Leaves the group, for a shutdown of this instance. Retries until the store
+   * answers or the process ends: nothing can be handed over without the store,
+   * so this instance's keepers keep acting meanwhile. If they stopped at once
+   * during an outage of the store, every key would be unserved from 3 s later
+   * until the outage is over (all lookups failed for 4 s).
    */
   async leave(): Promise<void> {
     this.#isLeaving = true;
-    while (!this.#hasEnded && !await this.#leaveOnce()) {
-      await this.#options.clock.sleep(LEAVE_EVERY_MS);
+    while (!this.#isStopped && !await this.#leaveOnce()) {
+      await this.#options.clock.sleep(LEAVE_RETRY_MS);
     }
     this.#assignedAt.clear();
   }
 
-  /** The process ends. */
+  /** Stops the attempts to leave, since the process ends. */
   stop(): void {
-    this.#hasEnded = true;
+    this.#isStopped = true;
   }
 
-  /** Others stand ready: what is kept here passes to them. */
-  async #leaveToOthers(): Promise<void> {
+  /** Leaves the group, so that the partitions go to the other candidates. */
+  async #leaveGroup(): Promise<void> {
     if (await this.#leaveOnce()) {
       this.#generation = 0;
       this.#assignedAt.clear();
@@ -134,17 +140,17 @@
 
   async #leaveOnce(): Promise<boolean> {
     const { store, claim, observe } = this.#options;
-    const left = await store.leave(GROUP, formatIncarnation(claim));
-    if (!left.ok) {
-      observe({ kind: "share-failed", cause: left.val.kind });
+    const result = await store.leave(GROUP, formatIncarnation(claim));
+    if (!result.ok) {
+      observe({ kind: "share-failed", cause: result.val.kind });
     }
-    return left.ok;
+    return result.ok;
   }
 
   async #join(): Promise<void> {
     const { clock, store, topic, claim, observe } = this.#options;
     const sentAtMs = clock.readMs();
-    const joined = await store.join({
+    const result = await store.join({
       group: GROUP,
       member: formatIncarnation(claim),
       topic,
@@ -154,20 +160,20 @@
     if (this.#isLeaving) {
       return;
     }
-    if (!joined.ok) {
-      observe({ kind: "share-failed", cause: joined.val.kind });
+    if (!result.ok) {
+      observe({ kind: "share-failed", cause: result.val.kind });
       return;
     }
-    this.#joinedAtMs = sentAtMs;
-    const { generation, parts } = joined.val;
+    this.#lastJoinedAtMs = sentAtMs;
+    const { generation, parts } = result.val;
     if (generation !== this.#generation) {
       observe({ kind: "share", generation, parts });
     }
     this.#generation = generation;
-    this.#setParts(parts, clock.readMs());
+    this.#setAssigned(parts, clock.readMs());
   }
 
-  #setParts(parts: readonly number[], nowMs: number): void {
+  #setAssigned(parts: readonly number[], nowMs: number): void {
     for (const part of [...this.#assignedAt.keys()]) {
       if (!parts.includes(part)) {
         this.#assignedAt.delete(part);
--- a/packages/gateway/src/keeper/partition_assignment_test.ts
+++ b/packages/gateway/src/keeper/partition_assignment_test.ts
@@ -7,17 +7,17 @@
 const TOPIC = "owners";
 const PARTS = 4;
 
-/** Instances that share the partitions of one store. */
+/** Instances that divide the partitions of one store. */
 class Group {
   readonly clock = new VirtualClock();
   readonly store = new FakeStore(this.clock, PARTS);
   readonly candidates = new Set<string>();
   readonly joins = new Map<string, number>();
-  readonly #shares = new Map<string, PartitionAssignment>();
+  readonly #assignments = new Map<string, PartitionAssignment>();
 
   start(instance: string): void {
     const client = this.store.createClient(instance);
-    const share = new PartitionAssignment({
+    const assignment = new PartitionAssignment({
       clock: this.clock,
       store: {
         ...client,
@@ -32,41 +32,42 @@
       isCandidate: () => this.candidates.has(instance),
       observe: () => undefined,
     });
-    this.#shares.set(instance, share);
-    void share.run(new AbortController().signal);
+    this.#assignments.set(instance, assignment);
+    void assignment.run(new AbortController().signal);
   }
 
-  listParts(instance: string): readonly number[] {
-    return [...this.#shares.get(instance)!.listAssigned().keys()];
+  listPartitions(instance: string): readonly number[] {
+    return [...this.#assignments.get(instance)!.listAssigned().keys()];
   }
 }
 
-test("partitions fall to those that stand ready, and to nobody else", async () => {
-  // A hundred instances that only serve requests would join twice a second each.
+test("partitions are assigned to candidates only", async () => {
+  // A hundred instances that only serve requests would each join twice a
+  // second.
   const group = new Group();
   group.candidates.add("a").add("b");
   ["a", "b", "c"].forEach((instance) => group.start(instance));
   await group.clock.advance(5_000);
   assert.equal(
-    group.listParts("a").length + group.listParts("b").length,
+    group.listPartitions("a").length + group.listPartitions("b").length,
     PARTS,
   );
-  assert.deepEqual(group.listParts("c"), []);
+  assert.deepEqual(group.listPartitions("c"), []);
   assert.equal(group.joins.get("c"), undefined);
 });
 
-test("one that stands ready no more leaves, but not for a lost datagram", async () => {
-  // A datagram is lost, and for a moment another instance takes its place. To
-  // leave at once and join again would hand each partition over twice.
+test("an instance leaves when it is no candidate any more, but not for a lost datagram", async () => {
+  // A datagram is lost, and another instance becomes a candidate for a moment.
+  // To leave at once and rejoin would hand over each partition twice.
   const group = new Group();
   group.candidates.add("a").add("b");
   ["a", "b"].forEach((instance) => group.start(instance));
   await group.clock.advance(5_000);
-  const before = group.listParts("a");
+  const before = group.listPartitions("a");
   group.candidates.delete("a");
   await group.clock.advance(2_000);
-  assert.deepEqual(group.listParts("a"), before);
+  assert.deepEqual(group.listPartitions("a"), before);
   await group.clock.advance(10_000);
-  assert.deepEqual(group.listParts("a"), []);
-  assert.equal(group.listParts("b").length, PARTS);
+  assert.deepEqual(group.listPartitions("a"), []);
+  assert.equal(group.listPartitions("b").length, PARTS);
 });
--- a/packages/gateway/src/keeper/predecessor_tracker.ts
+++ b/packages/gateway/src/keeper/predecessor_tracker.ts
@@ -1,11 +1,12 @@
 /**
- * The keepers of a partition before the one here: which of them may act yet, and
- * until when.
+ * Tracks the predecessors of a keeper in one partition: which of them may still
+ * act, and until when.
  *
- * Guards against two owners of a key: a keeper that was replaced may renew its
- * grants without knowing it. Several such may stand one behind the other, where
- * each was lost before it had heard of the one before; the records name them,
- * and the one that may act longest decides how long a successor waits.
+ * Guards against two owners of a key: a replaced keeper may keep renewing its
+ * grants because it does not know that it was replaced. There can be several
+ * such predecessors, if each was lost before it learned whether the one before
+ * it had stopped. The records of the partition name them, and the one that may
+ * act the longest determines how long the successor waits.
  */
 import { computeHoldEndMs } from "@lentilspur/ownership/hold_tracker";
 import {
@@ -19,16 +20,18 @@
 import type { Clock } from "@lentilspur/ports/clock";
 import type { KeeperExchange } from "./keeper_exchange.ts";
 
-/** An earlier keeper, and what was known of it at this instance's claim. */
+/** A predecessor, and what this instance knew of it when it claimed. */
 interface TrackedPredecessor extends UnresolvedKeeper {
   readonly resigned: boolean;
-  /** When the claim here was known to be accepted; own clock. */
+  /**
+   * When this instance learned that the store accepted its claim; own clock.
+   */
   readonly claimedAtMs: number;
-  /** When its process was first known to have ended; own clock. */
+  /** When this instance first learned that the process has ended; own clock. */
   endedSeenAtMs: number | undefined;
 }
 
-/** An earlier keeper whose grants may still be in force. */
+/** A predecessor whose grants may still be in force. */
 export interface AwaitedPredecessor {
   readonly instance: string;
   readonly incarnation: string;
@@ -40,7 +43,7 @@
 export interface PredecessorTrackerOptions {
   readonly clock: Clock;
   readonly timing: KeeperTiming;
-  /** This instance's. */
+  /** The claim of this instance. */
   readonly claim: KeeperClaim;
   readonly peers: KeeperExchange;
   readonly hasInstanceEnded: (claim: KeeperClaim) => boolean;
@@ -49,31 +52,37 @@
 export class PredecessorTracker {
   readonly #options: PredecessorTrackerOptions;
   readonly #part: number;
-  #keepers: readonly TrackedPredecessor[];
+  #predecessors: readonly TrackedPredecessor[];
 
-  /** As the partition's records name them right before the claim. */
+  /** `state` is what the partition's records say right before the claim. */
   constructor(
     options: PredecessorTrackerOptions,
     part: number,
-    standing: PartitionState,
+    state: PartitionState,
   ) {
     this.#options = options;
     this.#part = part;
-    this.#keepers = this.#createKeepers(standing);
+    this.#predecessors = this.#createPredecessors(state);
   }
 
-  /** Waiting times count from when the claim is known to have been accepted. */
+  /**
+   * Restarts the waiting times: they count from the moment at which this
+   * instance knows that the store has accepted its claim.
+   */
   recordClaimed(): void {
     const claimedAtMs = this.#options.clock.readMs();
-    this.#keepers = this.#keepers.map((one) => ({ ...one, claimedAtMs }));
+    this.#predecessors = this.#predecessors.map((predecessor) => ({
+      ...predecessor,
+      claimedAtMs,
+    }));
   }
 
-  /** Those of which some grant may still be in force. */
+  /** The predecessors whose grants may still be in force. */
   listUnresolved(): readonly UnresolvedKeeper[] {
     return this.#listAwaited().map(({ keeper }) => toUnresolved(keeper));
   }
 
-  /** Those that are waited for, with what is known of each and for how long. */
+  /** The same predecessors, each with its state and the time left to wait. */
   describeAwaited(): readonly AwaitedPredecessor[] {
     return this.#listAwaited().map(({ keeper, kind, leftMs }) => {
       const { instance, incarnation, term } = keeper;
@@ -81,20 +90,22 @@
     });
   }
 
-  /** All of them, as a claim's record names them. */
+  /** All predecessors, as the record of a claim names them. */
   listAll(): readonly UnresolvedKeeper[] {
-    return this.#keepers.map(toUnresolved);
+    return this.#predecessors.map(toUnresolved);
   }
 
-  /** All taken together. */
+  /** The worst state and the latest possible order of all predecessors. */
   computeState(): PredecessorState {
-    const weighed = this.#keepers.map((keeper) => this.#weighKeeper(keeper));
-    const kinds = weighed.map(({ kind }) => kind);
+    const states = this.#predecessors.map((keeper) =>
+      this.#computeKeeperState(keeper)
+    );
+    const kinds = states.map(({ kind }) => kind);
     return {
-      kind: WORST_FIRST.find((one) => kinds.includes(one)) ?? "none",
+      kind: KINDS_WORST_FIRST.find((kind) => kinds.includes(kind)) ?? "none",
       lastOrderAtMs: Math.max(
         -Infinity,
-        ...weighed.map(({ lastOrderAtMs }) => lastOrderAtMs),
+        ...states.map(({ lastOrderAtMs }) => lastOrderAtMs),
       ),
     };
   }
@@ -102,49 +113,54 @@
   #listAwaited() {
     const { clock, timing } = this.#options;
     const nowMs = clock.readMs();
-    return this.#keepers.map((keeper) => {
-      const { kind, lastOrderAtMs } = this.#weighKeeper(keeper);
+    return this.#predecessors.map((keeper) => {
+      const { kind, lastOrderAtMs } = this.#computeKeeperState(keeper);
       const leftMs = computeHoldEndMs(lastOrderAtMs, timing.holdMs) - nowMs;
       return { keeper, kind, leftMs };
     }).filter(({ kind, leftMs }) => kind !== "resigned" && leftMs > 0);
   }
 
-  #createKeepers(standing: PartitionState): readonly TrackedPredecessor[] {
-    const { claim, witnesses, unresolved, term, tables } = standing;
+  #createPredecessors(state: PartitionState): readonly TrackedPredecessor[] {
+    const { claim, witnesses, unresolved, term, tables } = state;
     const nowMs = this.#options.clock.readMs();
     if (term === undefined && tables.size === 0) {
       return [];
     }
-    // One whose record cannot be read may be any; nothing will be heard of it.
-    const last = claim ?? { instance: "", incarnation: "" };
-    const all = [{ ...last, witnesses, term: term ?? -1 }, ...unresolved];
-    return all.map((one) => ({
-      ...toUnresolved(one),
-      resigned: "resigned" in one && one.resigned === true,
+    // A keeper whose record cannot be read may be any instance. The empty name
+    // matches no message and no restart, so its waiting time runs in full.
+    const lastClaim = claim ?? { instance: "", incarnation: "" };
+    const predecessors = [
+      { ...lastClaim, witnesses, term: term ?? -1 },
+      ...unresolved,
+    ];
+    return predecessors.map((predecessor) => ({
+      ...toUnresolved(predecessor),
+      resigned: "resigned" in predecessor && predecessor.resigned === true,
       claimedAtMs: nowMs,
-      endedSeenAtMs: this.#hasEnded(one) ? nowMs : undefined,
+      endedSeenAtMs: this.#hasEnded(predecessor) ? nowMs : undefined,
     }));
   }
 
   /**
-   * It is an earlier claim or an earlier start of this very instance, or a later
-   * start of its instance is known.
+   * Whether the keeper's process has ended: the claim is from this instance or
+   * from an earlier incarnation of it, or a later incarnation of the keeper's
+   * instance is known.
    */
   #hasEnded(keeper: KeeperClaim): boolean {
     const { claim, hasInstanceEnded } = this.#options;
     return keeper.instance === claim.instance || hasInstanceEnded(keeper);
   }
 
-  #weighKeeper(keeper: TrackedPredecessor): PredecessorState {
+  #computeKeeperState(keeper: TrackedPredecessor): PredecessorState {
     const { clock, peers } = this.#options;
     if (keeper.resigned) {
       return { kind: "resigned", lastOrderAtMs: keeper.claimedAtMs };
     }
     const latestMs = this.#computeLatestOrderMs(keeper);
-    const stopped = peers.findStopNotice(this.#part, keeper);
-    if (stopped !== undefined) {
-      const kind = stopped.isClean ? "resigned" : "ended";
-      return { kind, lastOrderAtMs: Math.min(latestMs, stopped.atMs) };
+    const stopNotice = peers.findStopNotice(this.#part, keeper);
+    if (stopNotice !== undefined) {
+      const kind = stopNotice.isClean ? "resigned" : "ended";
+      return { kind, lastOrderAtMs: Math.min(latestMs, stopNotice.atMs) };
     }
     if (keeper.endedSeenAtMs === undefined && this.#hasEnded(keeper)) {
       keeper.endedSeenAtMs = clock.readMs();
@@ -157,7 +173,9 @@
       };
   }
 
-  /** For how long a keeper of which nothing is heard may have acted. */
+  /**
+   * Latest time at which a keeper that has sent no stop notice may have acted.
+   */
   #computeLatestOrderMs(
     { claimedAtMs, witnesses }: TrackedPredecessor,
   ): number {
@@ -171,7 +189,7 @@
   }
 }
 
-const WORST_FIRST = ["unknown", "ended", "resigned"] as const;
+const KINDS_WORST_FIRST = ["unknown", "ended", "resigned"] as const;
 
 function toUnresolved(
   { instance, incarnation, term, witnesses }: UnresolvedKeeper,
--- a/packages/gateway/src/keeper/requested_keys.ts
+++ b/packages/gateway/src/keeper/requested_keys.ts
@@ -1,9 +1,12 @@
 /**
- * Gathers the keys that this instance was asked for, and tells them to the
- * keeper of their service a few times a second.
+ * Collects the keys that callers requested from this instance, so that it can
+ * report them to the keeper of their service a few times a second.
  */
 
-/** A datagram's worth; in a burst the rest is a sample that is left out. */
+/**
+ * Keys that fit into one datagram. In a burst, further keys are left out, which
+ * makes the report a sample.
+ */
 const MAX_KEYS = 150;
 
 export class RequestedKeys {
@@ -18,7 +21,7 @@
     }
   }
 
-  /** What came together since the last call. */
+  /** Returns the keys collected since the last call and clears them. */
   take(): ReadonlyMap<string, readonly number[]> {
     const taken = new Map(this.#keys);
     this.#keys.clear();
--- a/packages/gateway/src/keeper/suspension_detector.ts
+++ b/packages/gateway/src/keeper/suspension_detector.ts
@@ -1,15 +1,16 @@
 /**
- * Notices that this process may have stood still without its clock showing it.
+ * Detects that this process may have been suspended without its clock showing
+ * it.
  *
- * While a machine is suspended the steady clock stands and the time of day goes
+ * While a machine is suspended, the steady clock stops and the time of day goes
  * on. So a jump of the time of day against the steady clock is either a step of
- * the clock or a suspension. It is never taken as a measure of time; it only
- * makes what was confirmed before it count no more. Asked at each act, since a
- * timer may fire after the act that it should have stopped.
+ * the clock or a suspension. The jump is never used to measure time; it only
+ * invalidates earlier confirmations. The check runs before each action, since a
+ * timer may fire after the action that it should have prevented.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 
-/** Both clocks drift by far less between two acts; suspensions last seconds. */
+/** Both clocks drift by far less between checks; suspensions last seconds. */
 const MIN_JUMP_MS = 300;
 
 export class SuspensionDetector {
@@ -32,7 +33,7 @@
     this.#differenceMs = options.readWallMs() - clock.readMs();
   }
 
-  /** What was confirmed before this time does not count; own clock. */
+  /** Returns the time before which confirmations do not count; own clock. */
   checkTrustedSinceMs(): number {
     const differenceMs = this.#readWallMs() - this.#clock.readMs();
     const jumpMs = differenceMs - this.#differenceMs;
--- a/packages/gateway/src/members/duties.ts
+++ b/packages/gateway/src/members/duties.ts
@@ -1,31 +1,33 @@
 /**
- * Which instances do work for others: keep keys, read the store for everybody,
- * or pass on what was read.
+ * Determines which instances do work for others: keep keys, read the store for
+ * all instances, or forward what was read.
  *
- * Load pattern: 200 instances. Did each of them read the configuration, the
- * members and the group of keepers for itself, those calls alone would be 100 a
- * second; and one of the small ones, with a quarter of a core, cannot renew the
- * keys of 180 targets. So a few do it, the strongest first, and everybody works
- * out alike who they are from the members' records and from whom it hears.
+ * Load pattern: 200 instances. If each of them read the configuration, the
+ * members and the group of keepers itself, those calls alone would be 100 a
+ * second; and a small instance with a quarter of a core cannot renew the keys
+ * of 180 targets. So a few instances do this work, the strongest first. Each
+ * instance computes the same duties from the members' records and from which
+ * instances are alive.
  *
- * All of this is a hint: two that each take themselves for the reader both read,
- * which costs calls and harms nobody, and whoever hears nothing reads itself.
+ * All duties are hints. Two instances that each act as the reader both read,
+ * which costs calls and does no harm, and an instance that receives nothing
+ * reads the store itself.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Member, Members, RankedInstance } from "./members.ts";
 import { hashToUint32 } from "./stable_hash.ts";
 
 /**
- * What an instance does for others. `keeper-candidate`: it joins the group of
- * keepers and follows the configuration. `reader`: it reads the targets' entries
- * for all. `local-reader`: it passes on in its data centre what is read, and
- * gathers loads there.
+ * The work that an instance does for others. `keeper-candidate`: joins the
+ * group of keepers and follows the configuration. `reader`: reads the targets'
+ * entries for all instances. `local-reader`: forwards in its data centre what
+ * was read, and collects loads there.
  */
 export type Duty = "keeper-candidate" | "reader" | "local-reader";
 
 export interface DutiesOptions {
   readonly clock: Clock;
-  /** As `members` has it. */
+  /** The same object that `members` was created with. */
   readonly self: RankedInstance;
   readonly members: Members;
   /** Whether the store does not answer this instance. */
@@ -33,35 +35,44 @@
 }
 
 /**
- * Instances that join the group of keepers and follow the configuration. A
- * partial outage that turns a third of all instances away leaves one of six in
- * 699 cases of 700.
+ * Instances that join the group of keepers and follow the configuration. If a
+ * partial outage cuts a third of all instances off the store, at least one of
+ * six still reaches it in 699 of 700 cases.
  */
 const CANDIDATES = 6;
-/** As many stand ready however weak they are. */
-const LEAST_CANDIDATES = 3;
-/** Of the strongest: one that can do less would be slower to renew keys. */
-const MIN_STRENGTH = 0.5;
-/** Instances that say often that they are there: twice those that are needed. */
-const SPEAKERS = 2 * CANDIDATES;
-/** The same within a data centre, where one reads. */
-const NEAR_SPEAKERS = 2;
+/** This many become candidates however few cores they have. */
+const MIN_CANDIDATES = 3;
 /**
- * An instance that has just started knows few others, and would take itself for
- * one of the first. Were 200 to join the group of keepers when they start
- * together, partitions would pass to and fro as all but a few leave again.
+ * Minimum cores of a further candidate, as a fraction of the strongest's cores:
+ * weaker instances are slower to renew keys.
  */
-const GATHER_MS = 1_000;
-/** What is worked out holds for this long; it is asked for with each datagram. */
-const VALID_MS = 50;
-/** One decides; the next one where it does not answer. */
-const DECIDERS = 2;
+const MIN_CORES_RATIO = 0.5;
+/** Instances that send heartbeats to all: twice the number of candidates. */
+const REGIONAL_HEARTBEAT_SENDERS = 2 * CANDIDATES;
+/**
+ * Instances per data centre that send heartbeats within it, where one of them
+ * is the local reader.
+ */
+const LOCAL_HEARTBEAT_SENDERS = 2;
+/**
+ * For this long after its start, an instance that knows few others does not
+ * become a candidate, since it would rank itself among the first. If 200
+ * instances that start together joined the group of keepers, partitions would
+ * move to and fro as all but a few leave again.
+ */
+const DISCOVERY_MS = 1_000;
+/** How long duties are cached, since they are needed for each datagram. */
+const CACHE_MS = 50;
+/**
+ * Instances that coordinate a subject: the second one if the first is silent.
+ */
+const COORDINATORS = 2;
 
 interface Decision {
   readonly atMs: number;
   readonly isCandidate: boolean;
   readonly isHeartbeatSender: boolean;
-  /** Whether everybody is to hear that this instance is there. */
+  /** Whether this instance sends heartbeats to all data centres. */
   readonly sendsToRegion: boolean;
   readonly candidates: ReadonlySet<string>;
   readonly heartbeatSenders: ReadonlySet<string>;
@@ -80,7 +91,6 @@
     this.#startedAtMs = options.clock.readMs();
   }
 
-  /** What this instance does for others now. */
   listDuties(): readonly Duty[] {
     const duties: Duty[] = [];
     if (this.isCandidate()) {
@@ -95,12 +105,12 @@
     return duties;
   }
 
-  /** Whether this instance stands ready to keep keys. */
+  /** Whether this instance is a candidate for keeping keys. */
   isCandidate(): boolean {
     return this.#decide().isCandidate;
   }
 
-  /** How many candidates come before this instance, if it is one. */
+  /** Number of candidates ranked before this instance, if it is a candidate. */
   findCandidateRank(): number | undefined {
     const { isCandidate, candidates } = this.#decide();
     return isCandidate
@@ -108,54 +118,55 @@
       : undefined;
   }
 
-  /** Whether another instance is believed to stand ready to keep keys. */
+  /** Whether another instance is a candidate, as far as is known here. */
   hasCandidate(instance: string): boolean {
     return this.#decide().candidates.has(instance);
   }
 
-  /** Whether this instance is to say often that it is there. */
+  /** Whether this instance sends heartbeats. */
   isHeartbeatSender(): boolean {
     return this.#decide().isHeartbeatSender;
   }
 
-  /** The others that are heard of and say often that they are there. */
+  /** The other live instances that send heartbeats to all data centres. */
   listHeartbeatSenders(): readonly Member[] {
-    const { heartbeatSenders: speakers } = this.#decide();
+    const { heartbeatSenders } = this.#decide();
     return this.#options.members.listPeers()
-      .filter(({ instance }) => speakers.has(instance));
+      .filter(({ instance }) => heartbeatSenders.has(instance));
   }
 
   /**
-   * Which instances decide about something that all share, the first before the
-   * next: drawn from its name among those that say often that they are there.
+   * Chooses the instances that coordinate a subject shared by all instances, in
+   * order of preference: by a hash of subject and name, among the instances
+   * that send heartbeats to all data centres.
    */
   chooseCoordinators(subject: string): readonly string[] {
     return [...this.#decide().heartbeatSenders]
       .map((name) => ({ name, order: hashToUint32(`${subject} ${name}`) }))
       .toSorted((left, right) => left.order - right.order)
-      .slice(0, DECIDERS)
+      .slice(0, COORDINATORS)
       .map(({ name }) => name);
   }
 
-  /** Whether this instance reads the targets' entries for everybody. */
+  /** Whether this instance reads the targets' entries for all instances. */
   isReader(): boolean {
     return this.#decide().reader === this.#options.self.instance;
   }
 
-  /** Whether this instance passes on in its data centre what comes from others. */
+  /** Whether this instance forwards messages of others in its data centre. */
   isLocalReader(): boolean {
     const { dataCentre, instance } = this.#options.self;
     return this.#decide().localReaders.get(dataCentre) === instance;
   }
 
-  /** The one that passes on in this data centre, once its record is known. */
+  /** The local reader of this data centre, once its record is known. */
   findLocalReader(): Member | undefined {
     const { self, members } = this.#options;
     const name = this.#decide().localReaders.get(self.dataCentre);
     return name === undefined ? undefined : members.get(name);
   }
 
-  /** Those that pass on in the other data centres. */
+  /** The local readers of the other data centres. */
   listRemoteReaders(): readonly Member[] {
     const { localReaders } = this.#decide();
     return this.listRemote().filter(({ instance, dataCentre }) =>
@@ -163,19 +174,19 @@
     );
   }
 
-  /** Whom to tell often that this instance is there. */
+  /** The receivers of this instance's heartbeats. */
   listHeartbeatReceivers(): readonly Member[] {
-    const { sendsToRegion: isRegionSpeaker, heartbeatSenders: speakers } = this
+    const { sendsToRegion, heartbeatSenders } = this
       .#decide();
     const { self, members } = this.#options;
-    return isRegionSpeaker
+    return sendsToRegion
       ? members.listPeers()
       : members.listPeers().filter(({ instance, dataCentre }) =>
-        dataCentre === self.dataCentre || speakers.has(instance)
+        dataCentre === self.dataCentre || heartbeatSenders.has(instance)
       );
   }
 
-  /** The other instances of the data centre. */
+  /** The other instances of this data centre. */
   listLocal(): readonly Member[] {
     const { self, members } = this.#options;
     return members.listPeers()
@@ -189,7 +200,7 @@
       .filter(({ dataCentre }) => dataCentre !== self.dataCentre);
   }
 
-  /** Whom to pass a message on to that comes from an instance of a data centre. */
+  /** To whom this instance forwards a message that comes from a data centre. */
   listForwardReceivers(dataCentre: string): readonly Member[] {
     return dataCentre !== this.#options.self.dataCentre && this.isLocalReader()
       ? this.listLocal()
@@ -197,57 +208,62 @@
   }
 
   /**
-   * Whom to tell what everybody is to know: all that are near, and in each other
-   * data centre the one that passes it on there, or all where none is heard of.
+   * The first receivers of a message for all instances: all in this data
+   * centre, and in each other data centre its local reader, which forwards the
+   * message, or all instances there if none is alive.
    */
   listBroadcastReceivers(): readonly Member[] {
     const { self, members } = this.#options;
     const { localReaders } = this.#decide();
     return members.listPeers().filter(({ instance, dataCentre }) => {
-      const relay = localReaders.get(dataCentre);
-      return dataCentre === self.dataCentre || relay === undefined ||
-        relay === instance;
+      const localReader = localReaders.get(dataCentre);
+      return dataCentre === self.dataCentre || localReader === undefined ||
+        localReader === instance;
     });
   }
 
   #decide(): Decision {
     const nowMs = this.#options.clock.readMs();
     if (
-      this.#decision === undefined || nowMs - this.#decision.atMs >= VALID_MS
+      this.#decision === undefined || nowMs - this.#decision.atMs >= CACHE_MS
     ) {
       this.#decision = this.#createDecision(nowMs);
     }
     return this.#decision;
   }
 
-  /** Goes through all that are heard of, the first to be charged with work first. */
+  /** Computes the duties of all live instances, in the order of their rank. */
   #createDecision(nowMs: number): Decision {
     const { self, members } = this.#options;
-    const heard = members.listRanked().filter(({ instance }) =>
+    const alive = members.listRanked().filter(({ instance }) =>
       instance === self.instance || members.isAlive(instance, nowMs)
     );
-    const able = heard.filter((one) => !this.#hasLostStore(one));
-    const before = heard.slice(0, heard.indexOf(self));
-    const nearBefore = before
+    const withStore = alive.filter((instance) => !this.#hasLostStore(instance));
+    const rankedBefore = alive.slice(0, alive.indexOf(self));
+    const localRankedBefore = rankedBefore
       .filter(({ dataCentre }) => dataCentre === self.dataCentre);
-    const speakers = heard.slice(0, SPEAKERS);
-    const isRegionSpeaker = before.length < SPEAKERS;
-    const candidates = listNames(chooseCandidates(speakers, new Set(able)));
+    const heartbeatSenders = alive.slice(0, REGIONAL_HEARTBEAT_SENDERS);
+    const sendsToRegion = rankedBefore.length < REGIONAL_HEARTBEAT_SENDERS;
+    const candidates = listNames(
+      chooseCandidates(heartbeatSenders, new Set(withStore)),
+    );
     return {
       atMs: nowMs,
-      isCandidate: candidates.has(self.instance) && this.#hasGathered(nowMs),
-      isHeartbeatSender: isRegionSpeaker || nearBefore.length < NEAR_SPEAKERS,
-      sendsToRegion: isRegionSpeaker,
+      isCandidate: candidates.has(self.instance) &&
+        this.#hasDiscoveredOthers(nowMs),
+      isHeartbeatSender: sendsToRegion ||
+        localRankedBefore.length < LOCAL_HEARTBEAT_SENDERS,
+      sendsToRegion,
       candidates,
-      heartbeatSenders: listNames(speakers),
-      reader: (able[0] ?? heard[0]!).instance,
-      localReaders: chooseLocalReaders([...able, ...heard]),
+      heartbeatSenders: listNames(heartbeatSenders),
+      reader: (withStore[0] ?? alive[0]!).instance,
+      localReaders: chooseLocalReaders([...withStore, ...alive]),
     };
   }
 
-  #hasGathered(nowMs: number): boolean {
+  #hasDiscoveredOthers(nowMs: number): boolean {
     return this.#options.members.instanceCount > CANDIDATES ||
-      nowMs - this.#startedAtMs >= GATHER_MS;
+      nowMs - this.#startedAtMs >= DISCOVERY_MS;
   }
 
   #hasLostStore({ instance }: RankedInstance): boolean {
@@ -259,21 +275,22 @@
 }
 
 /**
- * Those that the store answers go first; where it answers none, the first stand
- * ready all the same. An instance that can do much less than the first is left
- * out where there are others: partitions fall to candidates evenly.
+ * Chooses instances that reach the store before those that do not. If none
+ * does, the first in rank are candidates all the same. Leaves out an instance
+ * with far fewer cores than the strongest if there are enough others, since
+ * partitions are divided evenly among the candidates.
  */
 function chooseCandidates(
   instances: readonly RankedInstance[],
-  able: ReadonlySet<RankedInstance>,
+  withStore: ReadonlySet<RankedInstance>,
 ): readonly RankedInstance[] {
   const ordered = [
-    ...instances.filter((one) => able.has(one)),
-    ...instances.filter((one) => !able.has(one)),
+    ...instances.filter((instance) => withStore.has(instance)),
+    ...instances.filter((instance) => !withStore.has(instance)),
   ];
-  const most = Math.max(...ordered.map(({ cores }) => cores));
-  return ordered.slice(0, CANDIDATES).filter(({ cores }, place) =>
-    place < LEAST_CANDIDATES || cores >= MIN_STRENGTH * most
+  const maxCores = Math.max(...ordered.map(({ cores }) => cores));
+  return ordered.slice(0, CANDIDATES).filter(({ cores }, rank) =>
+    rank < MIN_CANDIDATES || cores >= MIN_CORES_RATIO * maxCores
   );
 }
 
@@ -281,7 +298,7 @@
   return new Set(instances.map(({ instance }) => instance));
 }
 
-/** The first in each data centre. */
+/** Chooses the first instance in each data centre. */
 function chooseLocalReaders(
   instances: readonly RankedInstance[],
 ): ReadonlyMap<string, string> {
--- a/packages/gateway/src/members/duties_test.ts
+++ b/packages/gateway/src/members/duties_test.ts
@@ -6,10 +6,10 @@
 import { type Member, Members, serializeMember } from "./members.ts";
 
 const HEARTBEAT_MS = 500;
-/** An instance that has been silent for this long is not heard of any more. */
+/** An instance that has been silent for this long is not alive any more. */
 const SILENT_MS = 1_700;
 
-/** What each of many instances takes the others for. */
+/** Many instances, each with its own view of the others. */
 class Fleet {
   readonly clock = new VirtualClock();
   readonly names: readonly string[];
@@ -35,11 +35,13 @@
     }
   }
 
-  /** Each that is not silent says how it is; some time passes. */
+  /** Each instance that is not silent sends heartbeats while time passes. */
   async advance(ms: number): Promise<void> {
     for (let spentMs = 0; spentMs < ms; spentMs += HEARTBEAT_MS) {
       for (const members of this.#members.values()) {
-        for (const name of this.names.filter((one) => !this.silent.has(one))) {
+        for (
+          const name of this.names.filter((name) => !this.silent.has(name))
+        ) {
           members.recordStoreStatus(
             name,
             this.lost.has(name),
@@ -58,11 +60,10 @@
   }
 }
 
-test("a few of 200 instances stand ready, the strongest", async () => {
-  // All targets' keys are kept by one instance. Were it one of those with a
-  // quarter of a core, it could not renew 400 ranges in time, and every key
-  // would be refused; were all 200 to join the group, that alone would be 40
-  // calls a second.
+test("a few of 200 instances become candidates, the strongest", async () => {
+  // A single instance keeps all targets' keys. One with a quarter of a core
+  // cannot renew 400 ranges in time, and every key is refused. If all 200
+  // joined the group, that alone would be 40 calls a second.
   const fleet = new Fleet(createInstances(200));
   await fleet.advance(2_000);
   const candidates = fleet.list((duties) => duties.isCandidate());
@@ -75,9 +76,10 @@
   assert.equal(fleet.list((duties) => duties.isLocalReader()).length, 5);
 });
 
-test("candidates that the store turns away or that are lost are replaced", async () => {
-  // A partial outage turns half of the candidates away, and one of the others
-  // is lost. Others stand ready as soon as it is heard, and step back after.
+test("candidates that lose the store or are lost are replaced", async () => {
+  // A partial outage cuts half of the candidates off the store, and another one
+  // is lost. Others must replace them as soon as this is known, and step back
+  // afterwards.
   const fleet = new Fleet(createInstances(60));
   await fleet.advance(2_000);
   const before = fleet.list((duties) => duties.isCandidate());
@@ -93,9 +95,10 @@
   assert.deepEqual(fleet.list((duties) => duties.isCandidate()), before);
 });
 
-test("in an outage of the whole store nobody else steps in", async () => {
-  // Every instance loses the store at once. Did those step in that are next,
-  // all 200 would join the group when it is back, and each key's keeper change.
+test("an outage of the whole store leaves the candidates unchanged", async () => {
+  // Every instance loses the store at once. If the next in rank became
+  // candidates, all 200 would join the group when the store is back, and each
+  // key's keeper would change.
   const fleet = new Fleet(createInstances(200));
   await fleet.advance(2_000);
   const before = fleet.list((duties) => duties.isCandidate());
@@ -104,22 +107,22 @@
   assert.deepEqual(fleet.list((duties) => duties.isCandidate()), before);
 });
 
-test("an instance that has just started takes itself for nobody yet", async () => {
-  // 200 instances start together and know nobody. None must join before it has
-  // heard of the others; an instance that is alone must in the end.
+test("an instance that has just started is no candidate yet", async () => {
+  // 200 instances start together and know no others. None must join before it
+  // learns of the others, but an instance that is alone must join in the end.
   const fleet = new Fleet(createInstances(1));
   assert.equal(fleet.list((duties) => duties.isCandidate()).length, 0);
   await fleet.advance(1_500);
   assert.equal(fleet.list((duties) => duties.isCandidate()).length, 1);
 });
 
-test("what everybody is to know goes to one instance in each other place", async () => {
+test("a message for all goes to one instance in each other data centre", async () => {
   const fleet = new Fleet(createInstances(50));
   await fleet.advance(2_000);
   const duties = fleet.duties.get("bole-0")!;
   const receivers = duties.listBroadcastReceivers();
   assert.equal(receivers.length, 9 + 4);
-  // Nobody of a data centre is heard of: each one there is told.
+  // No instance of this data centre is alive: all there are receivers.
   fleet.names.filter((name) => name.startsWith("yeka"))
     .forEach((name) => fleet.silent.add(name));
   await fleet.advance(SILENT_MS + HEARTBEAT_MS);
@@ -127,8 +130,9 @@
 });
 
 test("an older record never replaces a newer one", () => {
-  // An instance has started again and told so. The record of its earlier start
-  // is read late: taken over, its keeper would count as alive for a minute.
+  // An instance has restarted and announced it, and the record of its earlier
+  // incarnation is read late. If that replaced the new one, its keeper would
+  // count as alive for a minute.
   const [self, other] = createInstances(2);
   const members = new Members(self!);
   const { instance } = other!;
@@ -141,8 +145,9 @@
   assert.equal(members.get(instance)?.incarnation, "2");
 });
 
-test("those that follow the configuration have places of their own", async () => {
-  // Reads that all end together leave none that finds a change in between.
+test("each instance that follows the configuration has a rank of its own", async () => {
+  // If all candidates' reads of the configuration end together, none of them
+  // finds a change in between.
   const fleet = new Fleet(createInstances(40));
   await fleet.advance(2_000);
   const places = fleet.names
--- a/packages/gateway/src/members/member_fixtures.ts
+++ b/packages/gateway/src/members/member_fixtures.ts
@@ -1,7 +1,7 @@
-/** Members of a made-up deployment, for tests. */
+/** Creates the members of a sample deployment, for tests. */
 import { type Member, Members, serializeMember } from "./members.ts";
 
-/** `bole-3` is the third in Bole; a name without a number stands in Bole. */
+/** `bole-3` is the third in Bole; a name without a number is in Bole too. */
 export function createMember(
   instance: string,
   changes: Partial<Member> = {},
@@ -20,7 +20,7 @@
 
 const DATA_CENTRES = ["bole", "kirkos", "yeka", "lideta", "arada"] as const;
 
-/** Instances in five data centres, the first three in each of them strong. */
+/** Instances in five data centres, the first three of each with more cores. */
 export function createInstances(count: number): readonly Member[] {
   return Array.from({ length: count }, (_, index) => {
     const dataCentre = DATA_CENTRES[index % DATA_CENTRES.length]!;
@@ -38,8 +38,8 @@
   nowMs: number,
 ): Members {
   const members = new Members(self);
-  for (const [offset, one] of all.entries()) {
-    members.apply(one.instance, serializeMember(one), { offset, nowMs });
+  for (const [offset, member] of all.entries()) {
+    members.apply(member.instance, serializeMember(member), { offset, nowMs });
   }
   return members;
 }
--- a/packages/gateway/src/members/member_publisher.ts
+++ b/packages/gateway/src/members/member_publisher.ts
@@ -1,8 +1,8 @@
 /**
- * Writes an instance's record into the store, so that others find it, and tells
- * those that are known here. Load pattern: 200 instances are restarted in turn;
- * did each of them wait at the store for the others' records, every restart
- * would be answered by 200 calls.
+ * Writes an instance's record into the store and announces the record to the
+ * instances that this one knows. Load pattern: 200 instances are restarted one
+ * after the other. If each of them kept a read open at the store for the others'
+ * records, every restart would be answered by 200 calls.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Partition, Store } from "@lentilspur/ports/store";
@@ -13,18 +13,20 @@
   readonly store: Store;
   readonly partition: Partition;
   readonly member: Member;
-  /** Tells the others of the record. */
+  /** Sends the record to the other instances. */
   readonly announce: (offset: number, record: string) => void;
   readonly reportFault: (message: string) => void;
   readonly signal: AbortSignal;
 }
 
-/** Before the append is tried again; others miss hints meanwhile, no more. */
+/**
+ * Delay before the append is tried again; until then others only miss hints.
+ */
 const RETRY_MS = 500;
 /** A datagram may be lost, and at first this instance knows few others. */
-const ANNOUNCED_AFTER_MS: readonly number[] = [0, 500, 1_500];
+const ANNOUNCEMENT_TIMES_MS: readonly number[] = [0, 500, 1_500];
 
-/** Resolves once the record is written and told, or the signal aborts. */
+/** Resolves once the record is written and announced, or the signal aborts. */
 export async function publishMember(
   options: PublishMemberOptions,
 ): Promise<void> {
@@ -34,23 +36,25 @@
     const key = member.instance;
     const appended = await store.append({ partition, key, value });
     if (appended.ok) {
-      await sendOften(options, appended.val, value);
+      await sendRepeatedly(options, appended.val, value);
       return;
     }
-    reportFault(`The own record was not written: ${appended.val.kind}`);
+    reportFault(
+      `Cannot write the member record of this instance, trying again: ${appended.val.kind}`,
+    );
     await clock.sleep(RETRY_MS, signal);
   }
 }
 
-async function sendOften(
+async function sendRepeatedly(
   { clock, announce, signal }: PublishMemberOptions,
   offset: number,
   record: string,
 ): Promise<void> {
-  let announcedMs = 0;
-  for (const afterMs of ANNOUNCED_AFTER_MS) {
-    await clock.sleep(afterMs - announcedMs, signal);
-    announcedMs = afterMs;
+  let previousMs = 0;
+  for (const afterMs of ANNOUNCEMENT_TIMES_MS) {
+    await clock.sleep(afterMs - previousMs, signal);
+    previousMs = afterMs;
     if (!signal.aborted) {
       announce(offset, record);
     }
--- a/packages/gateway/src/members/members.ts
+++ b/packages/gateway/src/members/members.ts
@@ -1,37 +1,37 @@
 /**
- * The other instances: where each can be reached, and which start of it is the
- * present one. Each writes one record at its start and tells the others of it;
+ * Tracks the other instances: their addresses and current incarnations. Each
+ * instance writes one record at its start and sends it to the others. The
  * records of instances that are gone for good stay, and cost a datagram now and
  * then.
  */
 import { hashToUint32 } from "./stable_hash.ts";
 
-/** What decides which work for others falls to an instance. */
+/** What determines the duties of an instance. */
 export interface RankedInstance {
   readonly instance: string;
   readonly dataCentre: string;
-  /** Processor time that it may use, in cores. */
+  /** Processor time that the instance may use, in cores. */
   readonly cores: number;
 }
 
 export interface Member extends RankedInstance {
-  /** Drawn anew at each start of the process. */
+  /** Random, and new at each start of the process. */
   readonly incarnation: string;
   readonly host: string;
   readonly port: number;
-  /** Where it says how it is. */
+  /** Port of the instance's status endpoint. */
   readonly statusPort: number;
 }
 
 /**
- * Instances that do work for others send at least every 500 ms: two datagrams
- * may be lost.
+ * Instances that send heartbeats do so at least every 500 ms: two datagrams may
+ * be lost.
  */
-const HEARD_MS = 1_600;
-/** Of an instance whose record does not say; those before this one did not. */
-const USUAL_CORES = 1;
+const ALIVE_MS = 1_600;
+/** For records without this field, which earlier versions wrote. */
+const DEFAULT_CORES = 1;
 
-/** What an instance last told of itself. */
+/** What an instance last reported, and when. */
 interface LastContact {
   readonly atMs: number;
   readonly hasLostStore: boolean;
@@ -40,13 +40,15 @@
 export class Members {
   readonly #self: RankedInstance;
   readonly #members = new Map<string, Member>();
-  /** Of the record of each, so that an older one never replaces it. */
+  /**
+   * Offset of each instance's record, so that an older one never replaces it.
+   */
   readonly #offsets = new Map<string, number>();
   readonly #lastContacts = new Map<string, LastContact>();
-  /** Of each instance, drawn from its name. */
-  readonly #orders = new Map<string, number>();
-  /** Made when asked for: at a start 200 records come one after the other. */
-  #others: readonly Member[] | undefined;
+  /** A hash of each instance's name. */
+  readonly #nameHashes = new Map<string, number>();
+  /** Computed on demand: at a start, 200 records arrive one after the other. */
+  #peers: readonly Member[] | undefined;
   #ranked: readonly RankedInstance[] | undefined;
 
   constructor(self: RankedInstance) {
@@ -54,9 +56,10 @@
   }
 
   /**
-   * Takes over a record, read or told. An instance that is new, or has started
-   * anew, counts as heard: it was there just now. False where the text is no
-   * member's record; it is left out.
+   * Applies a record that was read from the store or received from an instance.
+   * An instance that is new or has restarted counts as alive, since it was
+   * there just now. Returns false and leaves the record out if the text is no
+   * member's record.
    */
   apply(
     instance: string,
@@ -76,7 +79,7 @@
       this.#setMember(member, nowMs);
     }
     this.#offsets.set(instance, offset);
-    this.#others = undefined;
+    this.#peers = undefined;
     this.#ranked = undefined;
     return true;
   }
@@ -95,35 +98,35 @@
     this.#lastContacts.set(instance, { atMs: nowMs, hasLostStore });
   }
 
-  /** Whether one of its last datagrams has arrived. */
+  /** Whether one of the instance's last datagrams has arrived. */
   isAlive(instance: string, nowMs: number): boolean {
     return nowMs - (this.#lastContacts.get(instance)?.atMs ?? -Infinity) <
-      HEARD_MS;
+      ALIVE_MS;
   }
 
-  /** Whether it last told that the store does not answer it. */
+  /** Whether the instance last reported that the store does not answer it. */
   hasLostStore(instance: string): boolean {
     return this.#lastContacts.get(instance)?.hasLostStore === true;
   }
 
-  /** All but this instance itself. */
+  /** All instances but this one. */
   listPeers(): readonly Member[] {
-    this.#others ??= [...this.#members.values()]
+    this.#peers ??= [...this.#members.values()]
       .filter(({ instance }) => instance !== this.#self.instance);
-    return this.#others;
+    return this.#peers;
   }
 
   /**
-   * All, this instance too, in the order in which work for others falls to them:
-   * the same at every instance that has read the same records. Those that may
-   * use most processor time come first, among equals in an order drawn from
-   * their names, so that the first few stand in different data centres.
+   * All instances, this one included, in the order in which duties are
+   * assigned: the same order at every instance that has read the same records.
+   * Those with the most cores come first, and equals are ordered by a hash of
+   * their names, so that the first few are in different data centres.
    */
   listRanked(): readonly RankedInstance[] {
     this.#ranked ??= [this.#self, ...this.listPeers()]
       .toSorted((left, right) =>
         right.cores - left.cores ||
-        this.#getOrder(left.instance) - this.#getOrder(right.instance)
+        this.#getNameHash(left.instance) - this.#getNameHash(right.instance)
       );
     return this.#ranked;
   }
@@ -132,13 +135,15 @@
     return this.#members.get(instance);
   }
 
-  /** A later start of the same instance proves that this one has ended. */
+  /**
+   * A later incarnation of the same instance proves that this one has ended.
+   */
   hasEnded(instance: string, incarnation: string): boolean {
     const member = this.#members.get(instance);
     return member !== undefined && member.incarnation !== incarnation;
   }
 
-  /** Instances that there may be, this one included. */
+  /** Number of instances with a record, this one included. */
   get instanceCount(): number {
     return this.listPeers().length + 1;
   }
@@ -151,10 +156,10 @@
     this.#members.set(instance, member);
   }
 
-  #getOrder(instance: string): number {
-    const order = this.#orders.get(instance) ?? hashToUint32(instance);
-    this.#orders.set(instance, order);
-    return order;
+  #getNameHash(instance: string): number {
+    const nameHash = this.#nameHashes.get(instance) ?? hashToUint32(instance);
+    this.#nameHashes.set(instance, nameHash);
+    return nameHash;
   }
 }
 
@@ -163,7 +168,7 @@
   return JSON.stringify(fields);
 }
 
-/** Undefined where the text is no member's record. */
+/** Returns undefined if the text is no member's record. */
 export function parseMember(
   instance: string,
   text: string,
@@ -171,7 +176,7 @@
   try {
     const value = JSON.parse(text) as Partial<Member> | null;
     const { incarnation, dataCentre, host, port, statusPort } = value ?? {};
-    const { cores = USUAL_CORES } = value ?? {};
+    const { cores = DEFAULT_CORES } = value ?? {};
     return typeof incarnation === "string" && typeof host === "string" &&
         typeof dataCentre === "string" && typeof port === "number" &&
         typeof statusPort === "number" && typeof cores === "number"
--- a/packages/gateway/src/structured_logger.ts
+++ b/packages/gateway/src/structured_logger.ts
@@ -1,51 +1,54 @@
 /**
- * Structured lines on standard output, bounded and never waited for.
+ * Writes structured lines to standard output, in bounded memory and without
+ * waiting.
  *
- * Guards against a log that takes the time of requests: lines are gathered and
- * written together; when the reader of standard output falls behind, or more
- * come than a second's allowance, ordinary lines are dropped and counted, and
- * the count is written as soon as there is room. Lines that tell of a failure
- * have an allowance of their own, so a flood of successes hides none of them.
+ * Guards against logging that delays requests. Lines are buffered and written
+ * together. When the reader of standard output falls behind, or more lines come
+ * than a second's limit, lines are dropped and counted, and the count is
+ * written as soon as there is room. Lines about failures have a limit of their
+ * own, so a flood of successes hides none of them.
  */
 import winston from "winston";
 import type { Clock } from "@lentilspur/ports/clock";
 
-/** Fields of one event. None of them may hide those that every line has. */
+/** Fields of one event. None may replace a field that every line has. */
 export type LogFields =
   & Readonly<Record<string, unknown>>
   & { readonly [Name in CommonField]?: never };
 
 type CommonField = "time" | "elapsedMs" | "sequence" | "event";
 
-/** `routine` tells of what went well, `notable` of what did not or changed. */
+/** `routine` is for successes, `notable` for failures and changes. */
 export type LogPriority = "routine" | "notable";
 
 export interface StructuredLoggerOptions {
   readonly clock: Clock;
   readonly instance: string;
   readonly incarnation: string;
-  /** Standard output, but for tests. */
+  /** Standard output, except in tests. */
   readonly stream: NodeJS.WritableStream;
 }
 
-/** Lines that come within this long are written together; saves a call each. */
-const GATHER_MS = 100;
-/** Twice the requests that a node of today's size takes. */
+/** Lines logged within this time are written together, to save calls. */
+const FLUSH_DELAY_MS = 100;
+/**
+ * Twice the requests a second that an instance on a node of today's size takes.
+ */
 const ROUTINE_PER_SECOND = 150;
 const NOTABLE_PER_SECOND = 300;
-/** What may lie unwritten at a reader that has stopped. */
+/** Most bytes that may wait for a reader that has stopped reading. */
 const MAX_UNWRITTEN_BYTES = 512 * 1024;
 
 export class StructuredLogger {
   readonly #options: StructuredLoggerOptions;
   readonly #winston: winston.Logger;
-  readonly #written = { routine: 0, notable: 0 };
+  readonly #countInSecond = { routine: 0, notable: 0 };
   readonly #dropped = { routine: 0, notable: 0 };
   #secondStartedAtMs = -Infinity;
-  /** Dropped lines that have been told of. */
-  #reported = 0;
+  /** Dropped lines that have been reported. */
+  #reportedDrops = 0;
   #sequence = 0;
-  #lines: string[] = [];
+  #buffer: string[] = [];
 
   constructor(options: StructuredLoggerOptions) {
     this.#options = options;
@@ -57,35 +60,34 @@
     });
   }
 
-  /** Lines that were dropped so far. */
   get droppedCount(): number {
     return this.#dropped.routine + this.#dropped.notable;
   }
 
-  log(event: string, weight: LogPriority, fields: LogFields): void {
-    if (!this.#claim(weight)) {
-      this.#dropped[weight]++;
+  log(event: string, priority: LogPriority, fields: LogFields): void {
+    if (!this.#takeAllowance(priority)) {
+      this.#dropped[priority]++;
       return;
     }
     this.#add(event, fields);
   }
 
-  /** Writes what has been gathered. */
+  /** Writes the buffered lines. */
   flush(): void {
-    if (this.#lines.length > 0) {
-      const text = this.#lines.join("\n");
-      this.#lines = [];
+    if (this.#buffer.length > 0) {
+      const text = this.#buffer.join("\n");
+      this.#buffer = [];
       this.#winston.info(text);
     }
   }
 
   #add(event: string, fields: LogFields): void {
-    if (this.#lines.length === 0) {
-      setTimeout(() => this.flush(), GATHER_MS).unref();
+    if (this.#buffer.length === 0) {
+      setTimeout(() => this.flush(), FLUSH_DELAY_MS).unref();
     }
     const { clock, instance, incarnation } = this.#options;
     this.#sequence++;
-    this.#lines.push(JSON.stringify({
+    this.#buffer.push(JSON.stringify({
       time: new Date().toISOString(),
       elapsedMs: Math.round(clock.readMs() * 10) / 10,
       instance,
@@ -96,29 +98,31 @@
     }));
   }
 
-  #claim(weight: LogPriority): boolean {
+  #takeAllowance(priority: LogPriority): boolean {
     const nowMs = this.#options.clock.readMs();
     if (nowMs - this.#secondStartedAtMs >= 1_000) {
       this.#startSecond(nowMs);
     }
-    const limit = weight === "routine"
+    const limit = priority === "routine"
       ? ROUTINE_PER_SECOND
       : NOTABLE_PER_SECOND;
     const unwritten = this.#getUnwrittenBytes();
-    if (unwritten > MAX_UNWRITTEN_BYTES || this.#written[weight] >= limit) {
+    if (
+      unwritten > MAX_UNWRITTEN_BYTES || this.#countInSecond[priority] >= limit
+    ) {
       return false;
     }
-    this.#written[weight]++;
+    this.#countInSecond[priority]++;
     return true;
   }
 
   #startSecond(nowMs: number): void {
     this.#secondStartedAtMs = nowMs;
-    this.#written.routine = 0;
-    this.#written.notable = 0;
+    this.#countInSecond.routine = 0;
+    this.#countInSecond.notable = 0;
     const { routine, notable } = this.#dropped;
-    if (routine + notable > this.#reported) {
-      this.#reported = routine + notable;
+    if (routine + notable > this.#reportedDrops) {
+      this.#reportedDrops = routine + notable;
       this.#add("lines-dropped", { routine, notable });
     }
   }
