--- a/packages/cli/src/declared_instance.ts
+++ b/packages/cli/src/declared_instance.ts
@@ -24,7 +24,7 @@
     createAdapter: ({ observeStoreCall }) =>
       createDeclaredAdapter(createAdapter(settings, clock, observeStoreCall), {
         decodeConfiguration: decodePublishedRouting,
-        readFields: (headers) => parseRequestMetadata(headers, randomUUID),
+        parseMetadata: (headers) => parseRequestMetadata(headers, randomUUID),
       }),
   });
   await instance.start();
--- a/packages/gateway/src/instance.ts
+++ b/packages/gateway/src/instance.ts
@@ -164,7 +164,7 @@
       keepers: this.#keeperService,
       quarantine: this.#quarantine,
       limits: this.#limits,
-      turns: this.#rateLimiter,
+      rateLimiter: this.#rateLimiter,
       tables: this.#tables,
       reportFault: (message) => this.#reporter.reportFault(message),
     });
@@ -366,7 +366,7 @@
       host: settings.host,
       port: settings.requestPort,
       readStallMs: () => this.#services.readStallMs(),
-      parseMetadata: this.#adapter.readFields,
+      parseMetadata: this.#adapter.parseMetadata,
       handle: (request) => this.#router.handle(request),
       reportFailure: (failure) => this.#reporter.reportEarlyFailure(failure),
     });
@@ -403,7 +403,7 @@
       onTableWritten: (written) => this.#relay.sendTable(written),
       onGranted: (granted) => this.#relay.sendGranted(granted),
       onAppended: (part, record) => this.#recordAppended(part, record),
-      onResolved: (part, end) => this.#relay.recordTableEnd(part, end),
+      onRestored: (part, end) => this.#relay.recordTableEnd(part, end),
       onClaim: (part, term) => this.#relay.sendClaim(part, term),
     });
   }
--- a/packages/gateway/src/instance_options.ts
+++ b/packages/gateway/src/instance_options.ts
@@ -21,7 +21,7 @@
   readonly orders: KeyOrderSender;
   readonly sender: RequestSender;
   readonly storeLayout: StoreLayout;
-  readonly readFields: (headers: readonly HeaderField[]) => RequestMetadata;
+  readonly parseMetadata: (headers: readonly HeaderField[]) => RequestMetadata;
   readonly decodeConfiguration: (text: string) => Result<RoutingTable, string>;
   readonly decodeTarget: (
     id: string,
--- a/packages/gateway/src/keeper/keeper_service.ts
+++ b/packages/gateway/src/keeper/keeper_service.ts
@@ -124,7 +124,7 @@
    * Called with the end of a partition that a keeper of this instance has read
    * after an append whose answer was lost.
    */
-  readonly onResolved?: (part: number, end: number) => void;
+  readonly onRestored?: (part: number, end: number) => void;
   /** Called for each claim of this instance that the store has accepted. */
   readonly onClaim?: (part: number, term: number) => void;
 }
@@ -458,7 +458,7 @@
     const { clock, timing, claim, hasInstanceEnded } = this.#options;
     const peers = this.#exchange;
     return new PredecessorTracker(
-      { clock, timing, claim, peers, hasInstanceEnded },
+      { clock, timing, claim, exchange: peers, hasInstanceEnded },
       part,
       state,
     );
@@ -507,7 +507,7 @@
       observe: (event) =>
         this.#options.observe({ kind: "keeper", partition, event }),
       onAppended: (record) => this.#options.onAppended?.(part, record),
-      onRestored: (end) => this.#options.onResolved?.(part, end),
+      onRestored: (end) => this.#options.onRestored?.(part, end),
       onTableWritten: (written) =>
         this.#options.onTableWritten?.({ ...written, part }),
       onGranted: (granted) => this.#options.onGranted?.(granted),
--- a/packages/gateway/src/keeper/key_traffic.ts
+++ b/packages/gateway/src/keeper/key_traffic.ts
@@ -92,7 +92,7 @@
         continue;
       }
       const averageMs =
-        this.#options.services.getUsualServiceMs(service.name) ??
+        this.#options.services.getAverageServiceMs(service.name) ??
           DEFAULT_SERVICE_MS;
       const { catalogue } = this.#options;
       const candidates = catalogue.listTargets(service.name)
--- a/packages/gateway/src/keeper/predecessor_tracker.ts
+++ b/packages/gateway/src/keeper/predecessor_tracker.ts
@@ -45,7 +45,7 @@
   readonly timing: KeeperTiming;
   /** The claim of this instance. */
   readonly claim: KeeperClaim;
-  readonly peers: KeeperExchange;
+  readonly exchange: KeeperExchange;
   readonly hasInstanceEnded: (claim: KeeperClaim) => boolean;
 }
 
@@ -152,7 +152,7 @@
   }
 
   #computeKeeperState(keeper: TrackedPredecessor): PredecessorState {
-    const { clock, peers } = this.#options;
+    const { clock, exchange: peers } = this.#options;
     if (keeper.resigned) {
       return { kind: "resigned", lastOrderAtMs: keeper.claimedAtMs };
     }
@@ -179,7 +179,7 @@
   #computeLatestOrderMs(
     { claimedAtMs, witnesses }: TrackedPredecessor,
   ): number {
-    const { timing, claim, peers } = this.#options;
+    const { timing, claim, exchange: peers } = this.#options;
     return witnesses.includes(formatIncarnation(claim))
       ? Math.max(
         claimedAtMs + timing.authorityMs,
--- a/packages/gateway/src/peers/peer_dispatcher.ts
+++ b/packages/gateway/src/peers/peer_dispatcher.ts
@@ -30,7 +30,7 @@
   readonly keepers: KeeperService;
   readonly quarantine: RequestQuarantine;
   readonly limits: TargetLimits;
-  readonly turns: TargetRateLimiter;
+  readonly rateLimiter: TargetRateLimiter;
   readonly tables: TableRequests;
   readonly reportFault: (message: string) => void;
 }
@@ -44,7 +44,8 @@
 
   handle(message: PeerMessage): void {
     const { clock, members, loads, relay, keyTraffic, demands } = this.#options;
-    const { keepers, quarantine, limits, turns, tables } = this.#options;
+    const { keepers, quarantine, limits, rateLimiter: turns, tables } =
+      this.#options;
     members.recordContact(message.from, clock.readMs());
     switch (message.kind) {
       case "load":
--- a/packages/gateway/src/requests/outcome_handler.ts
+++ b/packages/gateway/src/requests/outcome_handler.ts
@@ -51,7 +51,7 @@
   ): AttemptResult {
     switch (outcome.kind) {
       case "answered":
-        return { kind: "done", answer: outcome };
+        return { kind: "done", response: outcome };
       case "not-run":
         return this.#handleNotRun(context, target, outcome);
       case "unknown":
@@ -75,7 +75,7 @@
     }
     // A request that could not be sent adds no load, so it needs no retry budget.
     if (!isUnreachable && !this.claimRetry(context)) {
-      return { kind: "done", answer: this.createUnservedResponse(context) };
+      return { kind: "done", response: this.createUnservedResponse(context) };
     }
     const pauseMs = outcome.cause === "not-owner" ? NOT_OWNER_PAUSE_MS : 0;
     return { kind: "again", pauseMs };
@@ -100,7 +100,7 @@
       : outcome.cause === "silent"
       ? "answer-late"
       : "answer-lost";
-    return { kind: "done", answer: createFailure(failure, outcome.message) };
+    return { kind: "done", response: createFailure(failure, outcome.message) };
   }
 
   /** Creates the final response of a request that gets no place. */
@@ -185,7 +185,7 @@
       retryAfterMs,
     });
     if (isOwner) {
-      return { kind: "done", answer: this.createUnservedResponse(context) };
+      return { kind: "done", response: this.createUnservedResponse(context) };
     }
     context.excludedTargets.add(target.id);
     return { kind: "again", pauseMs: 0 };
--- a/packages/gateway/src/requests/request_context.ts
+++ b/packages/gateway/src/requests/request_context.ts
@@ -33,7 +33,7 @@
 }
 
 export type AttemptResult =
-  | { readonly kind: "done"; readonly answer: FinalResponse }
+  | { readonly kind: "done"; readonly response: FinalResponse }
   | { readonly kind: "again"; readonly pauseMs: number };
 
 export function getFingerprint(context: RequestContext): string {
--- a/packages/gateway/src/requests/request_router.ts
+++ b/packages/gateway/src/requests/request_router.ts
@@ -178,7 +178,7 @@
       }
       const result = await this.#runAttempt(context);
       if (result.kind === "done") {
-        return result.answer;
+        return result.response;
       }
       await clock.sleep(result.pauseMs, context.request.signal);
     }
@@ -253,7 +253,7 @@
     if (decision.kind === "refused") {
       return {
         kind: "done",
-        answer: this.#outcomes.createNoPlaceResponse(context, decision),
+        response: this.#outcomes.createNoPlaceResponse(context, decision),
       };
     }
     const permit = await this.#waitForPermit(context, decision.target);
@@ -286,7 +286,7 @@
     if (rateLimiter.getLimitPerSecond(target) === undefined) {
       return { kind: "granted", waitMs: 0 };
     }
-    const serviceMs = services.getUsualServiceMs(context.service) ?? 0;
+    const serviceMs = services.getAverageServiceMs(context.service) ?? 0;
     const latestStartMs = computeLatestStart(context, serviceMs);
     const maxWaitMs = Math.max(0, latestStartMs - clock.readMs());
     const permit = await rateLimiter.claim(target, maxWaitMs);
@@ -307,7 +307,7 @@
       ? { kind: "again", pauseMs: OWNER_POLL_INTERVAL_MS }
       : {
         kind: "done",
-        answer: this.#outcomes.createUnservedResponse(context),
+        response: this.#outcomes.createUnservedResponse(context),
       };
   }
 
@@ -332,7 +332,7 @@
   ): Promise<PlaceDecision | undefined> {
     const { request, route, admission, service } = context;
     const { services } = this.#options;
-    const serviceMs = services.getUsualServiceMs(service) ?? 0;
+    const serviceMs = services.getAverageServiceMs(service) ?? 0;
     return services.waitForPlace(service, {
       requestId: request.requestId,
       priority: route.priority,
@@ -427,7 +427,7 @@
     ) {
       return abortController;
     }
-    const expectedMs = services.estimateAnswerMs(service, placed.target.id);
+    const expectedMs = services.estimateResponseMs(service, placed.target.id);
     const overdueMs = Math.max(MIN_OVERDUE_MS, OVERDUE_FACTOR * expectedMs);
     void clock.sleep(overdueMs, abortController.signal).then(() => {
       if (
--- a/packages/gateway/src/requests/service_registry.ts
+++ b/packages/gateway/src/requests/service_registry.ts
@@ -235,12 +235,12 @@
     return { running, waiting, instances: 1 };
   }
 
-  getUsualServiceMs(service: string): number | null {
+  getAverageServiceMs(service: string): number | null {
     return this.#getPlaces(service).getAverageServiceMs();
   }
 
   /** Estimates how long a request that has just been placed takes to be answered. */
-  estimateAnswerMs(service: string, targetId: string): number {
+  estimateResponseMs(service: string, targetId: string): number {
     const places = this.#getPlaces(service);
     const usualMs = places.getAverageServiceMs();
     return places.getLoad(targetId)
