--- a/packages/cli/src/declared_path_test.ts
+++ b/packages/cli/src/declared_path_test.ts
@@ -3,7 +3,7 @@
 import { request } from "undici";
 import { test } from "node:test";
 import { openStore } from "@lentilspur/platform/adapter";
-import { TARGETS } from "@lentilspur/platform/declared_adapter";
+import { TARGETS_PARTITION } from "@lentilspur/platform/declared_adapter";
 import { StoreServer } from "@lentilspur/platform/standins/store_server";
 import { TargetServer } from "@lentilspur/platform/standins/target_server";
 import { SystemClock } from "@lentilspur/ports/system_clock";
@@ -68,7 +68,7 @@
       keyed: true,
       workMs: 2,
       writeEntry: (key, value) =>
-        void store.append({ partition: TARGETS, key, value }),
+        void store.append({ partition: TARGETS_PARTITION, key, value }),
     })
   );
   await Promise.all(targets.map((target) => target.open()));
--- a/packages/cli/src/evacuate_test.ts
+++ b/packages/cli/src/evacuate_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { PUBLICATIONS } from "@lentilspur/platform/declared_adapter";
+import { PUBLISHED_CONFIGURATION } from "@lentilspur/platform/declared_adapter";
 import { EXIT_CODES } from "./exit_codes.ts";
 import {
   FakePlatform,
@@ -18,7 +18,7 @@
 }
 
 function findNewest(terminal: Terminal, key: string): string | undefined {
-  return terminal.platform.store.listRecords(PUBLICATIONS)
+  return terminal.platform.store.listRecords(PUBLISHED_CONFIGURATION)
     .findLast((record) => record.key === key)?.value;
 }
 
@@ -52,7 +52,7 @@
     append: (request) => {
       if (request.at !== undefined && terminal.platform.recordCount === 0) {
         const { store } = terminal.platform;
-        store.write(PUBLICATIONS, "evacuate/yeka", "{}");
+        store.write(PUBLISHED_CONFIGURATION, "evacuate/yeka", "{}");
       }
       return link.append(request);
     },
--- a/packages/cli/src/store_session.ts
+++ b/packages/cli/src/store_session.ts
@@ -14,10 +14,10 @@
 } from "@lentilspur/ownership/key_table";
 import { formatTableKey } from "@lentilspur/ownership/keeper_records";
 import {
-  MEMBERS,
+  MEMBERS_PARTITION,
   OWNERS_TOPIC,
-  PUBLICATIONS,
-  TARGETS,
+  PUBLISHED_CONFIGURATION,
+  TARGETS_PARTITION,
 } from "@lentilspur/platform/declared_adapter";
 import { decodeTarget } from "@lentilspur/platform/target_format";
 import type { Store, StoreFailure, StoreRecord } from "@lentilspur/ports/store";
@@ -48,12 +48,14 @@
   }
 
   async readAnew(): Promise<Result<void, SessionFailure>> {
-    const read = await this.#store.readNewest(PUBLICATIONS);
+    const read = await this.#store.readNewest(PUBLISHED_CONFIGURATION);
     if (!read.ok) {
       return Err(read.val);
     }
     const { records, end } = read.val;
-    const record = records.find(({ key }) => key === PUBLICATIONS.key);
+    const record = records.find(({ key }) =>
+      key === PUBLISHED_CONFIGURATION.key
+    );
     const parsed = record === undefined
       ? Ok(NOTHING_PUBLISHED)
       : parsePublication(record.value);
@@ -69,8 +71,8 @@
   /** Appends only if nothing was written since the last read. */
   append(value: string): Promise<Result<number, StoreFailure>> {
     return this.#store.append({
-      partition: PUBLICATIONS,
-      key: PUBLICATIONS.key,
+      partition: PUBLISHED_CONFIGURATION,
+      key: PUBLISHED_CONFIGURATION.key,
       value,
       at: this.#end,
     });
@@ -82,15 +84,15 @@
     note: { readonly operator: string; readonly at: string } | null,
   ): Promise<Result<number, StoreFailure>> {
     return this.#store.append({
-      partition: PUBLICATIONS,
-      key: `${PUBLICATIONS.evacuationPrefix}${dataCentre}`,
+      partition: PUBLISHED_CONFIGURATION,
+      key: `${PUBLISHED_CONFIGURATION.evacuationPrefix}${dataCentre}`,
       value: note === null ? "" : JSON.stringify(note),
     });
   }
 
   /** Data centres in which targets stand. */
   async listDataCentres(): Promise<Result<readonly string[], StoreFailure>> {
-    const read = await this.#store.readNewest(TARGETS);
+    const read = await this.#store.readNewest(TARGETS_PARTITION);
     if (!read.ok) {
       return Err(read.val);
     }
@@ -103,7 +105,7 @@
 
   /** Instances that have said where they are; some may be gone. */
   async listMembers(): Promise<Result<readonly Member[], StoreFailure>> {
-    const read = await this.#store.readNewest(MEMBERS);
+    const read = await this.#store.readNewest(MEMBERS_PARTITION);
     if (!read.ok) {
       return Err(read.val);
     }
@@ -154,7 +156,7 @@
 }
 
 function listEvacuated(records: readonly StoreRecord[]): readonly string[] {
-  const { evacuationPrefix } = PUBLICATIONS;
+  const { evacuationPrefix } = PUBLISHED_CONFIGURATION;
   return records
     .filter(({ key, value }) =>
       key.startsWith(evacuationPrefix) && value !== ""
--- a/packages/cli/src/testing/fake_terminal.ts
+++ b/packages/cli/src/testing/fake_terminal.ts
@@ -6,9 +6,9 @@
 import { Err, Ok } from "@lentilspur/outcomes/result";
 import { serializeMember } from "@lentilspur/gateway/members/members";
 import {
-  MEMBERS,
-  PUBLICATIONS,
-  TARGETS,
+  MEMBERS_PARTITION,
+  PUBLISHED_CONFIGURATION,
+  TARGETS_PARTITION,
 } from "@lentilspur/platform/declared_adapter";
 import { encodeTarget } from "@lentilspur/platform/target_format";
 import { FakeStore } from "@lentilspur/ports/fake_store";
@@ -31,7 +31,7 @@
 
   /** Publications that were appended. */
   get recordCount(): number {
-    return this.store.listRecords(PUBLICATIONS).length;
+    return this.store.listRecords(PUBLISHED_CONFIGURATION).length;
   }
 
   addTarget(id: string, dataCentre: string): void {
@@ -44,7 +44,7 @@
       leaving: false,
       coldMs: 0,
     });
-    this.store.write(TARGETS, id, entry);
+    this.store.write(TARGETS_PARTITION, id, entry);
   }
 
   addMember(instance: string): void {
@@ -57,7 +57,7 @@
       statusPort: STATUS_PORT,
       cores: 1,
     });
-    this.store.write(MEMBERS, instance, text);
+    this.store.write(MEMBERS_PARTITION, instance, text);
   }
 }
 
--- a/packages/transport/src/connection_pool.ts
+++ b/packages/transport/src/connection_pool.ts
@@ -9,7 +9,11 @@
   openConnection,
   type OpenFailure,
 } from "./http_connection.ts";
-import type { HttpAnswer, HttpRequest, SendFailure } from "./http_exchange.ts";
+import type {
+  HttpRequest,
+  HttpResponse,
+  SendFailure,
+} from "./http_exchange.ts";
 
 export interface PoolOptions {
   readonly clock: Clock;
@@ -18,7 +22,7 @@
   /** Longest wait for a connection to open. */
   readonly connectTimeoutMs: number;
   /** An idle connection that has given no answer for this long is not used. */
-  readonly maxUnheardMs: number;
+  readonly maxIdleMs: number;
 }
 
 export type PoolFailure =
@@ -32,8 +36,8 @@
   /** Open or being opened. */
   #connections = 0;
   #established = 0;
-  #heardAtMs = -Infinity;
-  #hasBroken = false;
+  #lastResponseAtMs = -Infinity;
+  #mayHaveRestarted = false;
   #closed = false;
 
   constructor(address: string, options: PoolOptions) {
@@ -46,12 +50,12 @@
    * the first connection: at each moment some connection was open, none ended
    * unannounced, and none fell silent unless another was heard meanwhile.
    */
-  get isUnbroken(): boolean {
-    return !this.#hasBroken && this.#idle.every((one) => one.isOpen);
+  get isSameProcess(): boolean {
+    return !this.#mayHaveRestarted && this.#idle.every((one) => one.isOpen);
   }
 
   /** Sends on an idle connection or on a fresh one. Sends nothing twice. */
-  async send(request: HttpRequest): Promise<Result<HttpAnswer, PoolFailure>> {
+  async send(request: HttpRequest): Promise<Result<HttpResponse, PoolFailure>> {
     const taken = this.#takeIdle();
     if (taken !== undefined) {
       return await this.#sendOn(taken, request);
@@ -73,17 +77,18 @@
   async #sendOn(
     connection: HttpConnection,
     request: HttpRequest,
-  ): Promise<Result<HttpAnswer, PoolFailure>> {
+  ): Promise<Result<HttpResponse, PoolFailure>> {
     const sentAtMs = this.#options.clock.readMs();
     const sent = await connection.send(request);
     if (!sent.ok) {
       const isGivenUp = sent.val.cause !== "reset" && sent.val.cause !== "cut";
-      this.#hasBroken ||= !isGivenUp || this.#heardAtMs < sentAtMs;
+      this.#mayHaveRestarted ||= !isGivenUp ||
+        this.#lastResponseAtMs < sentAtMs;
       this.#remove(connection);
       return Err({ stage: "sending", ...sent.val });
     }
-    this.#heardAtMs = this.#options.clock.readMs();
-    if (isLastAnswer(sent.val)) {
+    this.#lastResponseAtMs = this.#options.clock.readMs();
+    if (isLastResponse(sent.val)) {
       this.#remove(connection);
     } else {
       this.#addIdle(connection);
@@ -112,23 +117,23 @@
 
   /** The one used last, since the peer is the least likely to have closed it. */
   #takeIdle(): HttpConnection | undefined {
-    const oldest = this.#options.clock.readMs() - this.#options.maxUnheardMs;
+    const oldest = this.#options.clock.readMs() - this.#options.maxIdleMs;
     for (;;) {
       const connection = this.#idle.pop();
       if (connection === undefined) {
         return undefined;
       }
-      if (connection.isOpen && connection.lastHeardAt >= oldest) {
+      if (connection.isOpen && connection.lastResponseAtMs >= oldest) {
         return connection;
       }
-      this.#hasBroken ||= !connection.isOpen;
+      this.#mayHaveRestarted ||= !connection.isOpen;
       this.#remove(connection);
     }
   }
 
   #addIdle(connection: HttpConnection): void {
     if (this.#closed || !connection.isOpen) {
-      this.#hasBroken ||= !connection.isOpen;
+      this.#mayHaveRestarted ||= !connection.isOpen;
       this.#remove(connection);
       return;
     }
@@ -138,13 +143,13 @@
   #remove(connection: HttpConnection): void {
     this.#connections--;
     this.#established--;
-    this.#hasBroken ||= this.#established === 0;
+    this.#mayHaveRestarted ||= this.#established === 0;
     connection.close();
   }
 }
 
 /** Whether the peer has said that it closes the connection. */
-function isLastAnswer({ headers }: HttpAnswer): boolean {
+function isLastResponse({ headers }: HttpResponse): boolean {
   return headers.some(({ name, value }) =>
     name === "connection" && value.toLowerCase() === "close"
   );
--- a/packages/transport/src/http_connection.ts
+++ b/packages/transport/src/http_connection.ts
@@ -10,9 +10,13 @@
 import { type buildConnector, Client } from "undici";
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import type { Clock } from "@lentilspur/ports/clock";
-import type { HttpAnswer, HttpRequest, SendFailure } from "./http_exchange.ts";
-import { AnswerCollector } from "./answer_collector.ts";
-import { AnswerTimeout } from "./answer_timeout.ts";
+import type {
+  HttpRequest,
+  HttpResponse,
+  SendFailure,
+} from "./http_exchange.ts";
+import { ResponseCollector } from "./response_collector.ts";
+import { ResponseTimeout } from "./response_timeout.ts";
 
 export interface OpenFailure {
   /** `refused`: nothing listens there. `unreachable`: nobody answered. */
@@ -27,17 +31,17 @@
   readonly #socket: Socket;
   readonly #client: Client;
   readonly #clock: Clock;
-  #lastHeardAt: number;
-  #socketGiven = false;
-  #hasEndedInOrder = false;
+  #lastResponseAtMs: number;
+  #isSocketTaken = false;
+  #hasReceivedFin = false;
 
   constructor(socket: Socket, address: string, clock: Clock) {
     this.#socket = socket;
     // Before `undici` hears of it, which takes an answer without a length for
     // whole however its connection ended.
-    socket.on("end", () => this.#hasEndedInOrder = true);
+    socket.on("end", () => this.#hasReceivedFin = true);
     this.#clock = clock;
-    this.#lastHeardAt = clock.readMs();
+    this.#lastResponseAtMs = clock.readMs();
     this.#client = new Client(`http://${address}`, {
       pipelining: 1,
       headersTimeout: 0,
@@ -52,18 +56,18 @@
   }
 
   /** When the last whole answer came in, or when it was opened; own clock. */
-  get lastHeardAt(): number {
-    return this.#lastHeardAt;
+  get lastResponseAtMs(): number {
+    return this.#lastResponseAtMs;
   }
 
   /** Sends one request; the connection is unusable after a failure. */
-  async send(request: HttpRequest): Promise<Result<HttpAnswer, SendFailure>> {
+  async send(request: HttpRequest): Promise<Result<HttpResponse, SendFailure>> {
     const writtenBefore = this.#socket.bytesWritten;
-    const collector = new AnswerCollector(
+    const collector = new ResponseCollector(
       request,
       () => timeout.recordData(),
     );
-    const timeout = new AnswerTimeout(
+    const timeout = new ResponseTimeout(
       request,
       (message) => collector.fail("silent", message),
     );
@@ -74,20 +78,20 @@
     } else {
       this.#dispatch(request, collector);
     }
-    const ending = await collector.ending;
+    const ending = await collector.outcome;
     timeout.clear();
     request.signal?.removeEventListener("abort", cancel);
     if (
-      ending.kind === "answered" && !ending.answer.isFramed &&
-      !this.#hasEndedInOrder
+      ending.kind === "answered" && !ending.response.isSelfDelimited &&
+      !this.#hasReceivedFin
     ) {
       this.reset();
       const message = "The connection broke within the answer";
       return Err({ written: true, cause: "cut", message });
     }
     if (ending.kind === "answered") {
-      this.#lastHeardAt = this.#clock.readMs();
-      return Ok(ending.answer);
+      this.#lastResponseAtMs = this.#clock.readMs();
+      return Ok(ending.response);
     }
     // Anything but the very same count is taken as written.
     const written = this.#socket.bytesWritten !== writtenBefore;
@@ -112,7 +116,7 @@
     this.#client.destroy().catch(() => undefined);
   }
 
-  #dispatch(request: HttpRequest, collector: AnswerCollector): void {
+  #dispatch(request: HttpRequest, collector: ResponseCollector): void {
     const headers = (request.headers ?? []).flatMap((field) => [
       field.name,
       field.value,
@@ -135,11 +139,11 @@
    * life; every later attempt to connect fails.
    */
   #offerSocket(callback: buildConnector.Callback): void {
-    if (this.#socketGiven || !this.isOpen) {
+    if (this.#isSocketTaken || !this.isOpen) {
       callback(new Error("The connection was closed"), null);
       return;
     }
-    this.#socketGiven = true;
+    this.#isSocketTaken = true;
     // `undici` ignores an answer that comes before its call returns.
     queueMicrotask(() => callback(null, this.#socket));
   }
--- a/packages/transport/src/http_connection_test.ts
+++ b/packages/transport/src/http_connection_test.ts
@@ -3,14 +3,14 @@
 import { test } from "node:test";
 import { SystemClock } from "@lentilspur/ports/system_clock";
 import { openConnection } from "./http_connection.ts";
-import type { HttpAnswer } from "./http_exchange.ts";
+import type { HttpResponse } from "./http_exchange.ts";
 
 const HALF = "HTTP/1.1 200 OK\r\nx-echo: 1\r\n\r\nhalf of it";
 
 /** Sends one request to a target that answers without a length and then ends. */
 async function sendToTarget(
   end: (socket: Socket) => void,
-): Promise<HttpAnswer | string> {
+): Promise<HttpResponse | string> {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
     socket.once("data", () => {
@@ -28,7 +28,7 @@
     path: "/",
     timeoutMs: 60_000,
     maxAnswerBytes: 1_000,
-    acceptsUnframed: true,
+    acceptsCloseDelimited: true,
   });
   server.close();
   return sent.ok ? sent.val : sent.val.cause;
--- a/packages/transport/src/http_exchange.ts
+++ b/packages/transport/src/http_exchange.ts
@@ -1,9 +1,9 @@
 /** One request on a connection, and how it can end. */
 import type { HeaderField } from "@lentilspur/ports/header_field";
-import type { AnswerLimits } from "./answer_timeout.ts";
+import type { ResponseLimits } from "./response_timeout.ts";
 
 /** Its limits count from the start of the write. */
-export interface HttpRequest extends AnswerLimits {
+export interface HttpRequest extends ResponseLimits {
   readonly method: string;
   readonly path: string;
   readonly headers?: readonly HeaderField[];
@@ -13,7 +13,7 @@
    * Whether an answer may end with its connection. It is whole only if the peer
    * closed in order; one that was reset is cut.
    */
-  readonly acceptsUnframed?: boolean;
+  readonly acceptsCloseDelimited?: boolean;
   readonly signal?: AbortSignal;
   /** Told of each part of the answer's body, in bytes. */
   readonly onData?: (bytes: number) => void;
@@ -21,15 +21,15 @@
   readonly mayStart?: () => boolean;
 }
 
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
   /** Whether it said itself where it ends, by a length or a last chunk. */
-  readonly isFramed: boolean;
+  readonly isSelfDelimited: boolean;
 }
 
-export type SendCause =
+export type SendFailureCause =
   | "silent"
   | "reset"
   | "cut"
@@ -39,6 +39,6 @@
 export interface SendFailure {
   /** False proves that no byte of the request was given to the kernel. */
   readonly written: boolean;
-  readonly cause: SendCause;
+  readonly cause: SendFailureCause;
   readonly message: string;
 }
--- a/packages/transport/src/answer_collector.ts
+++ b/packages/transport/src/response_collector.ts
@@ -1,16 +1,20 @@
 /** Gathers one HTTP answer and tells a whole one from a cut one. */
 import type { Dispatcher } from "undici";
 import type { HeaderField } from "@lentilspur/ports/header_field";
-import type { HttpAnswer, HttpRequest, SendCause } from "./http_exchange.ts";
+import type {
+  HttpRequest,
+  HttpResponse,
+  SendFailureCause,
+} from "./http_exchange.ts";
 
-export type Ending =
+export type ResponseOutcome =
   | {
     readonly kind: "answered";
-    readonly answer: HttpAnswer;
+    readonly response: HttpResponse;
   }
   | {
     readonly kind: "failed";
-    readonly cause: SendCause;
+    readonly cause: SendFailureCause;
     readonly message: string;
   };
 
@@ -18,9 +22,9 @@
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 const FIRST_FINAL_STATUS = 200;
 
-export class AnswerCollector {
+export class ResponseCollector {
   /** Resolves once, with the first thing that settles the request. */
-  readonly ending: Promise<Ending>;
+  readonly outcome: Promise<ResponseOutcome>;
   /** What `undici` calls as the answer comes in. */
   readonly handler: Dispatcher.DispatchHandler = {
     onRequestStart: (controller) => this.#checkStart(controller),
@@ -34,7 +38,7 @@
   readonly #request: HttpRequest;
   readonly #observeData: () => void;
   readonly #chunks: Uint8Array[] = [];
-  #settle: (ending: Ending) => void = () => undefined;
+  #settle: (ending: ResponseOutcome) => void = () => undefined;
   #status = 0;
   #headers: readonly HeaderField[] = [];
   #length = 0;
@@ -43,11 +47,11 @@
   constructor(request: HttpRequest, observeData: () => void) {
     this.#request = request;
     this.#observeData = observeData;
-    this.ending = new Promise((resolve) => this.#settle = resolve);
+    this.outcome = new Promise((resolve) => this.#settle = resolve);
   }
 
   /** Settles the request as failed, unless it is settled already. */
-  fail(cause: SendCause, message: string): void {
+  fail(cause: SendFailureCause, message: string): void {
     this.#settle({ kind: "failed", cause, message });
   }
 
@@ -82,18 +86,18 @@
   }
 
   #settleWhole(): void {
-    const isFramed = this.#isEndMarked();
-    if (!isFramed && this.#request.acceptsUnframed !== true) {
+    const isFramed = this.#isSelfDelimited();
+    if (!isFramed && this.#request.acceptsCloseDelimited !== true) {
       this.fail("cut", "The answer does not say where it ends");
       return;
     }
-    const answer: HttpAnswer = {
+    const answer: HttpResponse = {
       status: this.#status,
       headers: this.#headers,
       body: Buffer.concat(this.#chunks, this.#length),
-      isFramed,
+      isSelfDelimited: isFramed,
     };
-    this.#settle({ kind: "answered", answer });
+    this.#settle({ kind: "answered", response: answer });
   }
 
   /**
@@ -102,7 +106,7 @@
    * an answer that gives its length or ends with its last chunk is taken;
    * `undici` checks both.
    */
-  #isEndMarked(): boolean {
+  #isSelfDelimited(): boolean {
     return this.#request.method === "HEAD" ||
       BODILESS_STATUSES.has(this.#status) ||
       this.#headers.some((field) =>
--- a/packages/transport/src/answer_timeout.ts
+++ b/packages/transport/src/response_timeout.ts
@@ -1,19 +1,19 @@
 /** How long an answer is waited for: in all, or as long as it keeps coming in. */
 
-export interface AnswerLimits {
+export interface ResponseLimits {
   /** For the whole answer; with `stallMs`, for its first byte. */
   readonly timeoutMs: number;
   /** Longest pause within an answer that has begun. */
-  readonly stallMs?: number;
+  readonly stallTimeoutMs?: number;
 }
 
-export class AnswerTimeout {
-  readonly #limits: AnswerLimits;
+export class ResponseTimeout {
+  readonly #limits: ResponseLimits;
   readonly #fail: (message: string) => void;
   #timer: NodeJS.Timeout;
 
   /** `fail` is called once, unless the timeout is cleared before. */
-  constructor(limits: AnswerLimits, fail: (message: string) => void) {
+  constructor(limits: ResponseLimits, fail: (message: string) => void) {
     this.#limits = limits;
     this.#fail = fail;
     const { timeoutMs } = limits;
@@ -25,7 +25,7 @@
 
   /** A part of the answer has come in. */
   recordData(): void {
-    const { stallMs } = this.#limits;
+    const { stallTimeoutMs: stallMs } = this.#limits;
     if (stallMs === undefined) {
       return;
     }
--- a/packages/transport/src/session_pool.ts
+++ b/packages/transport/src/session_pool.ts
@@ -13,7 +13,7 @@
   type PoolFailure,
   type PoolOptions,
 } from "./connection_pool.ts";
-import type { HttpAnswer, HttpRequest } from "./http_exchange.ts";
+import type { HttpRequest, HttpResponse } from "./http_exchange.ts";
 
 export type SessionFailure =
   | PoolFailure
@@ -36,7 +36,7 @@
 
   /** Of the process that answers now; another number where it may be another. */
   get session(): number {
-    if (!this.#pool.isUnbroken) {
+    if (!this.#pool.isSameProcess) {
       this.#pool.close();
       this.#pool = new ConnectionPool(this.#address, this.#options);
       this.#session = ++SessionPool.#lastSession;
@@ -48,7 +48,7 @@
   async send(
     request: HttpRequest,
     session: number,
-  ): Promise<Result<HttpAnswer, SessionFailure>> {
+  ): Promise<Result<HttpResponse, SessionFailure>> {
     if (session !== this.session) {
       const message = `Session ${session} with ${this.#address} is over`;
       return Err({ stage: "session", message });
--- a/packages/transport/src/session_pool_test.ts
+++ b/packages/transport/src/session_pool_test.ts
@@ -50,7 +50,7 @@
     clock: new SystemClock(),
     maxConnections: 4,
     connectTimeoutMs: 60_000,
-    maxUnheardMs: 60_000,
+    maxIdleMs: 60_000,
   });
 }
 
--- a/packages/trials/src/standins/standin_cli.ts
+++ b/packages/trials/src/standins/standin_cli.ts
@@ -7,7 +7,7 @@
 import { once } from "node:events";
 import process from "node:process";
 import { openStore } from "@lentilspur/platform/adapter";
-import { TARGETS } from "@lentilspur/platform/declared_adapter";
+import { TARGETS_PARTITION } from "@lentilspur/platform/declared_adapter";
 import { StoreServer } from "@lentilspur/platform/standins/store_server";
 import { TargetServer } from "@lentilspur/platform/standins/target_server";
 import { FATAL_MARK } from "../traffic/fatal_request.ts";
@@ -94,7 +94,7 @@
       // As a process that crashes: nothing is said, and the entry stays.
       observeCrash: () => process.exit(CRASHED),
       writeEntry: (key, value) =>
-        void client.append({ partition: TARGETS, key, value }),
+        void client.append({ partition: TARGETS_PARTITION, key, value }),
       observeRun: (run) => {
         if (historyFile !== undefined) {
           appendFileSync(historyFile, `${JSON.stringify(run)}\n`);
