--- a/packages/cli/src/commands/audit.ts
+++ b/packages/cli/src/commands/audit.ts
@@ -1,5 +1,5 @@
 /** `lentilspur audit FILE...`: whether promises were kept, from log lines. */
-import { type AuditReport, checkLines } from "@lentilspur/proof/audit";
+import { type AuditReport, checkPromises } from "@lentilspur/proof/audit";
 import { command, flag } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
@@ -28,7 +28,7 @@
   collected: CollectedLines,
   json: boolean,
 ): ExitCode {
-  const report = checkLines(collected);
+  const report = checkPromises(collected);
   const lines = json
     ? [JSON.stringify({ files: collected.files, ...report })]
     : describeReport(collected, report);
--- a/packages/cli/src/commands/losses.ts
+++ b/packages/cli/src/commands/losses.ts
@@ -1,9 +1,9 @@
 /** `lentilspur losses FILE...`: when and why requests were not answered. */
 import {
   listLosses,
+  type LossReason,
   type LossWindow,
   mergeReasons,
-  type Reason,
 } from "@lentilspur/proof/losses";
 import { command, number, option } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
@@ -87,6 +87,6 @@
   ].join("  ");
 }
 
-function formatShort({ text, count }: Reason): string {
+function formatShort({ text, count }: LossReason): string {
   return `${count} ${text}`;
 }
--- a/packages/cli/src/line_files.ts
+++ b/packages/cli/src/line_files.ts
@@ -2,7 +2,7 @@
 import { createHash } from "node:crypto";
 import { readFile } from "node:fs/promises";
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
-import { parseLines, type ReadLines } from "@lentilspur/proof/log_line";
+import { type ParsedLines, parseLines } from "@lentilspur/proof/log_line";
 import { restPositionals, string } from "cmd-ts";
 import type { CommandContext } from "./command_context.ts";
 import { EXIT_CODES, type ExitCode } from "./exit_codes.ts";
@@ -13,7 +13,7 @@
   readonly digest: string;
 }
 
-export interface CollectedLines extends ReadLines {
+export interface CollectedLines extends ParsedLines {
   readonly files: readonly LineFile[];
 }
 
--- a/packages/cli/src/store_session.ts
+++ b/packages/cli/src/store_session.ts
@@ -1,6 +1,6 @@
 /** What a command has read of the store: the publication in force, and more. */
 import {
-  NOTHING_PUBLISHED,
+  EMPTY_PUBLICATION,
   parsePublication,
   type Publication,
 } from "@lentilspur/declarations/publication";
@@ -29,7 +29,7 @@
 
 export class StoreSession {
   readonly #store: Store;
-  #publication = NOTHING_PUBLISHED;
+  #publication = EMPTY_PUBLICATION;
   #evacuated: readonly string[] = [];
   #end = 0;
 
@@ -57,7 +57,7 @@
       key === PUBLISHED_CONFIGURATION.key
     );
     const parsed = record === undefined
-      ? Ok(NOTHING_PUBLISHED)
+      ? Ok(EMPTY_PUBLICATION)
       : parsePublication(record.value);
     if (!parsed.ok) {
       return Err({ kind: "unreadable", message: parsed.val });
--- a/packages/declarations/src/occurrence.ts
+++ b/packages/declarations/src/occurrence.ts
@@ -9,7 +9,7 @@
 }
 
 /** A fault for each occurrence of a value but the first. */
-export function listRepeated(
+export function listDuplicateFaults(
   occurrences: readonly Occurrence[],
   explain: (
     earlier: Occurrence,
@@ -30,6 +30,6 @@
 }
 
 /** Such as `templates/ledger.yaml:12`. */
-export function formatPlace({ source, path }: Occurrence): string {
+export function formatLocation({ source, path }: Occurrence): string {
   return `${source.file}:${source.locate(path).line}`;
 }
--- a/packages/declarations/src/publication.ts
+++ b/packages/declarations/src/publication.ts
@@ -7,7 +7,7 @@
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import type { RoutingTable } from "@lentilspur/ports/routing_table";
 import { z } from "zod";
-import { buildRouting } from "./published_routing.ts";
+import { buildRoutingTable } from "./published_routing.ts";
 import type { Configuration } from "./template.ts";
 
 /** One accepted version. */
@@ -30,7 +30,7 @@
 }
 
 /** Before anything is published. */
-export const NOTHING_PUBLISHED: Publication = {
+export const EMPTY_PUBLICATION: Publication = {
   version: 0,
   configuration: { templates: [], clientAccounts: [] },
   notes: [],
@@ -98,6 +98,6 @@
 ): Result<RoutingTable, string> {
   const parsed = parsePublication(text);
   return parsed.ok
-    ? Ok(buildRouting(parsed.val.configuration, parsed.val.version))
+    ? Ok(buildRoutingTable(parsed.val.configuration, parsed.val.version))
     : Err(parsed.val);
 }
--- a/packages/declarations/src/publication_test.ts
+++ b/packages/declarations/src/publication_test.ts
@@ -3,7 +3,7 @@
 import {
   createPublication,
   decodePublishedRouting,
-  NOTHING_PUBLISHED,
+  EMPTY_PUBLICATION,
   parsePublication,
   serializePublication,
 } from "./publication.ts";
@@ -36,7 +36,7 @@
 };
 
 test("what is published is what instances route by", () => {
-  const publication = createPublication(NOTHING_PUBLISHED, CONFIGURATION, NOTE);
+  const publication = createPublication(EMPTY_PUBLICATION, CONFIGURATION, NOTE);
   const table = decodePublishedRouting(serializePublication(publication))
     .unwrap();
   assert.equal(table.version, 1);
@@ -71,7 +71,7 @@
 });
 
 test("versions grow by one and only the last notes stay", () => {
-  let publication = NOTHING_PUBLISHED;
+  let publication = EMPTY_PUBLICATION;
   for (let count = 0; count < 30; count++) {
     publication = createPublication(publication, CONFIGURATION, NOTE);
   }
--- a/packages/declarations/src/published_routing.ts
+++ b/packages/declarations/src/published_routing.ts
@@ -29,7 +29,7 @@
 /** Longer than the idle time of usual balancers, so that they close first. */
 const IDLE_TIMEOUT_MS = 65_000;
 
-export function buildRouting(
+export function buildRoutingTable(
   configuration: Configuration,
   version: number,
 ): RoutingTable {
--- a/packages/declarations/src/route_conflicts.ts
+++ b/packages/declarations/src/route_conflicts.ts
@@ -1,8 +1,8 @@
 /** Routes of which two could match one request. */
 import type { DeclarationFault } from "./declaration_fault.ts";
-import type { Declared } from "./declared_documents.ts";
-import { formatPlace, type Occurrence } from "./occurrence.ts";
-import { matchRoutePaths } from "./route_path.ts";
+import type { ValidDocument } from "./schema_checks.ts";
+import { formatLocation, type Occurrence } from "./occurrence.ts";
+import { hasPathOverlap } from "./route_path.ts";
 import type { TemplateDocument } from "./template_schema.ts";
 
 interface RouteOccurrence extends Occurrence {
@@ -11,20 +11,20 @@
 }
 
 /** Within one template and across all of them. */
-export function checkRoutes(
-  templates: readonly Declared<TemplateDocument>[],
+export function checkRouteConflicts(
+  templates: readonly ValidDocument<TemplateDocument>[],
 ): readonly DeclarationFault[] {
   const routes = templates.flatMap(listRoutes);
   return routes.flatMap((route, index) => {
     const earlier = routes.slice(0, index).find((other) =>
-      other.method === route.method && matchRoutePaths(other.value, route.value)
+      other.method === route.method && hasPathOverlap(other.value, route.value)
     );
     return earlier === undefined ? [] : [createRouteFault(route, earlier)];
   });
 }
 
 function listRoutes(
-  { source, content }: Declared<TemplateDocument>,
+  { source, content }: ValidDocument<TemplateDocument>,
 ): readonly RouteOccurrence[] {
   return content.routes.map((route, index) => ({
     value: route.path,
@@ -43,7 +43,7 @@
     route.path,
     `${route.method} ${route.value}, which can match the same request as ${earlier.method} ${earlier.value} of template ${
       JSON.stringify(earlier.template)
-    } at ${formatPlace(earlier)}`,
+    } at ${formatLocation(earlier)}`,
     "routes of which at most one matches any request",
   );
 }
--- a/packages/declarations/src/route_path.ts
+++ b/packages/declarations/src/route_path.ts
@@ -22,7 +22,7 @@
 const MAX_PATH_CHARACTERS = 512;
 
 /** Whether `path` may stand in a route. */
-export function validateRoutePath(path: string): boolean {
+export function isValidRoutePath(path: string): boolean {
   if (!path.startsWith("/") || path.length > MAX_PATH_CHARACTERS) {
     return false;
   }
@@ -39,7 +39,7 @@
  * Whether one request path can match both: then nobody could say which
  * template serves it, and a non-idempotent request could pass as idempotent.
  */
-export function matchRoutePaths(a: string, b: string): boolean {
+export function hasPathOverlap(a: string, b: string): boolean {
   const left = splitRoutePath(a);
   const right = splitRoutePath(b);
   return left.length === right.length &&
--- a/packages/declarations/src/declared_documents.ts
+++ b/packages/declarations/src/schema_checks.ts
@@ -9,23 +9,23 @@
 import { type TemplateDocument, templateSchema } from "./template_schema.ts";
 
 /** A valid document together with where it stands. */
-export interface Declared<Content> {
+export interface ValidDocument<Content> {
   readonly source: SourceDocument;
   readonly content: Content;
 }
 
-export interface DeclaredDocuments {
-  readonly templates: readonly Declared<TemplateDocument>[];
-  readonly clientAccounts: readonly Declared<ClientAccountDocument>[];
+export interface SchemaCheckResult {
+  readonly templates: readonly ValidDocument<TemplateDocument>[];
+  readonly clientAccounts: readonly ValidDocument<ClientAccountDocument>[];
   readonly faults: readonly DeclarationFault[];
 }
 
 /** Sorts documents by kind and checks each against its schema. */
-export function checkDocuments(
+export function checkSchemas(
   sources: readonly SourceDocument[],
-): DeclaredDocuments {
-  const templates: Declared<TemplateDocument>[] = [];
-  const clientAccounts: Declared<ClientAccountDocument>[] = [];
+): SchemaCheckResult {
+  const templates: ValidDocument<TemplateDocument>[] = [];
+  const clientAccounts: ValidDocument<ClientAccountDocument>[] = [];
   const faults: DeclarationFault[] = [];
   for (const source of sources) {
     switch (source.getText("kind")) {
@@ -47,7 +47,7 @@
 }
 
 interface Sink<Content> {
-  readonly accepted: Declared<Content>[];
+  readonly accepted: ValidDocument<Content>[];
   readonly faults: DeclarationFault[];
 }
 
--- a/packages/declarations/src/references.ts
+++ b/packages/declarations/src/semantic_checks.ts
@@ -4,28 +4,28 @@
  */
 import type { ClientAccountDocument } from "./client_account_schema.ts";
 import type { DeclarationFault } from "./declaration_fault.ts";
-import type { Declared, DeclaredDocuments } from "./declared_documents.ts";
+import type { SchemaCheckResult, ValidDocument } from "./schema_checks.ts";
 import type { SourceDocument } from "./document_source.ts";
-import { formatPlace, listRepeated } from "./occurrence.ts";
-import { checkRoutes } from "./route_conflicts.ts";
+import { formatLocation, listDuplicateFaults } from "./occurrence.ts";
+import { checkRouteConflicts } from "./route_conflicts.ts";
 import type { Configuration } from "./template.ts";
 import type { TemplateDocument } from "./template_schema.ts";
 
 /** Everything read, valid or not, and what is in force if that is known. */
-export interface ReferenceContext {
+export interface SemanticCheckInput {
   readonly sources: readonly SourceDocument[];
-  readonly documents: DeclaredDocuments;
+  readonly documents: SchemaCheckResult;
   readonly inForce: Configuration | undefined;
 }
 
-export function checkReferences(
-  context: ReferenceContext,
+export function checkSemantics(
+  context: SemanticCheckInput,
 ): readonly DeclarationFault[] {
   const { templates, clientAccounts } = context.documents;
   const known = listTemplateNames(context.sources);
   return [
     ...checkNames(context.sources),
-    ...checkRoutes(templates),
+    ...checkRouteConflicts(templates),
     ...templates.flatMap(checkDurations),
     ...clientAccounts.flatMap((account) =>
       checkAccountTemplates(account, known)
@@ -48,16 +48,16 @@
       ? []
       : [{ value: `${kind} ${JSON.stringify(name)}`, source, path: ["name"] }];
   });
-  return listRepeated(occurrences, (earlier) => ({
+  return listDuplicateFaults(occurrences, (earlier) => ({
     found: `a second ${earlier.value}`,
     allowed: `one document for each name; the first is at ${
-      formatPlace(earlier)
+      formatLocation(earlier)
     }`,
   }));
 }
 
 function checkDurations(
-  { source, content }: Declared<TemplateDocument>,
+  { source, content }: ValidDocument<TemplateDocument>,
 ): readonly DeclarationFault[] {
   const { deadlines, limits, placement } = content;
   const faults: DeclarationFault[] = [];
@@ -95,7 +95,7 @@
 }
 
 function checkAccountTemplates(
-  { source, content }: Declared<ClientAccountDocument>,
+  { source, content }: ValidDocument<ClientAccountDocument>,
   known: readonly string[],
 ): readonly DeclarationFault[] {
   const occurrences = content.templates.map(({ template }, index) => ({
@@ -114,7 +114,7 @@
           : `the name of a declared template: ${known.join(", ")}`,
       )
     );
-  const repeated = listRepeated(occurrences, (earlier) => ({
+  const repeated = listDuplicateFaults(occurrences, (earlier) => ({
     found: `${JSON.stringify(earlier.value)} a second time`,
     allowed: "each template once for each client account",
   }));
@@ -123,7 +123,7 @@
 
 /** A credential names one client account, or its caller could not be told. */
 function checkCredentials(
-  accounts: readonly Declared<ClientAccountDocument>[],
+  accounts: readonly ValidDocument<ClientAccountDocument>[],
 ): readonly DeclarationFault[] {
   const occurrences = accounts.flatMap(({ source, content }) =>
     content.credentialDigests.map((value, index) => ({
@@ -132,8 +132,8 @@
       path: ["credentialDigests", index],
     }))
   );
-  return listRepeated(occurrences, (earlier) => ({
-    found: `the digest that also stands at ${formatPlace(earlier)}`,
+  return listDuplicateFaults(occurrences, (earlier) => ({
+    found: `the digest that also stands at ${formatLocation(earlier)}`,
     allowed: "a credential of its own for each client account",
   }));
 }
@@ -143,7 +143,7 @@
  * nearly every key another owner at once, while the old one still holds it.
  */
 function checkShardCount(
-  { source, content }: Declared<TemplateDocument>,
+  { source, content }: ValidDocument<TemplateDocument>,
   inForce: Configuration | undefined,
 ): readonly DeclarationFault[] {
   const current = inForce?.templates
--- a/packages/declarations/src/template_schema.ts
+++ b/packages/declarations/src/template_schema.ts
@@ -10,7 +10,7 @@
   createSizeSchema,
   nameSchema,
 } from "./field_schemas.ts";
-import { ROUTE_PATH_ALLOWED, validateRoutePath } from "./route_path.ts";
+import { isValidRoutePath, ROUTE_PATH_ALLOWED } from "./route_path.ts";
 import type { Template } from "./template.ts";
 
 /** The fold keeps an owner for each shard: 65536 bound its memory. */
@@ -30,7 +30,7 @@
   method: z.enum(METHODS, { error: `one of ${METHODS.join(", ")}` }),
   path: z
     .string({ error: ROUTE_PATH_ALLOWED })
-    .refine(validateRoutePath, { error: ROUTE_PATH_ALLOWED }),
+    .refine(isValidRoutePath, { error: ROUTE_PATH_ALLOWED }),
   /** No default: whoever adds a route has to decide this. */
   idempotent: booleanSchema,
 });
--- a/packages/declarations/src/validate.ts
+++ b/packages/declarations/src/validate.ts
@@ -10,15 +10,12 @@
   type DeclarationFault,
   sortDeclarationFaults,
 } from "./declaration_fault.ts";
-import {
-  checkDocuments,
-  type DeclaredDocuments,
-} from "./declared_documents.ts";
+import { checkSchemas, type SchemaCheckResult } from "./schema_checks.ts";
 import {
   type DeclarationFile,
   parseDeclarationFile,
 } from "./document_source.ts";
-import { checkReferences } from "./references.ts";
+import { checkSemantics } from "./semantic_checks.ts";
 import type { Configuration } from "./template.ts";
 import { toTemplate } from "./template_schema.ts";
 
@@ -32,18 +29,18 @@
 ): Result<Configuration, readonly DeclarationFault[]> {
   const parsed = files.map(parseDeclarationFile);
   const sources = parsed.flatMap(({ documents }) => documents);
-  const documents = checkDocuments(sources);
+  const documents = checkSchemas(sources);
   const faults = [
     ...parsed.flatMap((file) => file.faults),
     ...documents.faults,
-    ...checkReferences({ sources, documents, inForce }),
+    ...checkSemantics({ sources, documents, inForce }),
   ];
   return faults.length > 0
     ? Err(sortDeclarationFaults(faults))
     : Ok(toConfiguration(documents));
 }
 
-function toConfiguration(documents: DeclaredDocuments): Configuration {
+function toConfiguration(documents: SchemaCheckResult): Configuration {
   const templates = documents.templates
     .map(({ content }) => toTemplate(content));
   const clientAccounts = documents.clientAccounts
--- a/packages/proof/src/audit.ts
+++ b/packages/proof/src/audit.ts
@@ -17,10 +17,10 @@
 import {
   type FinalLine,
   type LogLine,
-  type ReadLines,
+  type ParsedLines,
   type SendLine,
-  toFinal,
-  toSend,
+  toFinalLine,
+  toSendLine,
 } from "./log_line.ts";
 
 export type AuditedPromise =
@@ -50,7 +50,9 @@
   readonly finals: FinalLine[];
 }
 
-export function checkLines({ lines, unreadable }: ReadLines): AuditReport {
+export function checkPromises(
+  { lines, unreadableCount: unreadable }: ParsedLines,
+): AuditReport {
   const trails = collectTrails(lines);
   const sends = [...trails.values()].flatMap((trail) => trail.sends);
   return {
@@ -76,8 +78,8 @@
     return trail;
   };
   for (const line of lines) {
-    const send = toSend(line);
-    const final = toFinal(line);
+    const send = toSendLine(line);
+    const final = toFinalLine(line);
     if (send !== undefined) {
       getTrail(send.requestId).sends.push(send);
     } else if (final !== undefined) {
--- a/packages/proof/src/audit_test.ts
+++ b/packages/proof/src/audit_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { checkLines } from "./audit.ts";
+import { checkPromises } from "./audit.ts";
 import { describeRequest } from "./explain.ts";
 import { type LogLine, parseLines } from "./log_line.ts";
 
@@ -49,7 +49,7 @@
 function checkDay(...incarnations: readonly (readonly Fields[])[]) {
   const texts = incarnations
     .map((fields, index) => formatLines(String(index), fields));
-  return checkLines(parseLines(texts));
+  return checkPromises(parseLines(texts));
 }
 
 function listPromises(...incarnations: readonly (readonly Fields[])[]) {
@@ -132,7 +132,7 @@
     makeFinal("r1"),
     { event: "lines-dropped", routine: 4, notable: 1 },
   ]).split("\n");
-  const report = checkLines(parseLines([`${first}\nnoise\n${third}`]));
+  const report = checkPromises(parseLines([`${first}\nnoise\n${third}`]));
   assert.equal(report.missingLines, 6);
   assert.equal(report.unreadableLines, 1);
 });
--- a/packages/proof/src/explain.ts
+++ b/packages/proof/src/explain.ts
@@ -10,8 +10,8 @@
   type FinalLine,
   type LogLine,
   type SendLine,
-  toFinal,
-  toSend,
+  toFinalLine,
+  toSendLine,
 } from "./log_line.ts";
 
 /** What changed up to this long before a request's end may be its cause. */
@@ -65,7 +65,7 @@
 ): readonly LogLine[] {
   const last = own.at(-1)!;
   const endMs = Date.parse(last.time);
-  const sends = own.flatMap((line) => toSend(line) ?? []);
+  const sends = own.flatMap((line) => toSendLine(line) ?? []);
   const targets = new Set<unknown>(sends.map(({ targetId }) => targetId));
   const services = new Set<unknown>(own.map((line) => line["service"]));
   return lines.filter((line) => {
@@ -89,8 +89,8 @@
 }
 
 function describeLine(line: LogLine, requestId: string): string {
-  const send = toSend(line);
-  const final = toFinal(line);
+  const send = toSendLine(line);
+  const final = toFinalLine(line);
   const text = send !== undefined
     ? describeSend(send)
     : final !== undefined
@@ -133,7 +133,7 @@
 
 /** What is proved of the request, in words for whoever complained. */
 function describeEnd(own: readonly LogLine[]): readonly string[] {
-  const final = own.map(toFinal).findLast((line) => line !== undefined);
+  const final = own.map(toFinalLine).findLast((line) => line !== undefined);
   if (final === undefined) {
     return [
       "No line tells how it ended: its line was dropped, or its instance ended first; it may have run if a send stands above",
--- a/packages/proof/src/log_line.ts
+++ b/packages/proof/src/log_line.ts
@@ -45,14 +45,14 @@
 export type FinalLine = LogLine & Readonly<z.output<typeof finalSchema>>;
 
 /** Lines as they stand in one or more files. */
-export interface ReadLines {
+export interface ParsedLines {
   readonly lines: readonly LogLine[];
   /** What stood between them and is no line of an instance. */
-  readonly unreadable: number;
+  readonly unreadableCount: number;
 }
 
 /** In the order of time, those of one incarnation in their own order. */
-export function parseLines(texts: readonly string[]): ReadLines {
+export function parseLines(texts: readonly string[]): ParsedLines {
   const lines: LogLine[] = [];
   let unreadable = 0;
   for (const text of texts.flatMap((each) => each.split("\n"))) {
@@ -75,15 +75,15 @@
       ? 1
       : 0
   );
-  return { lines, unreadable };
+  return { lines, unreadableCount: unreadable };
 }
 
-export function toSend(line: LogLine): SendLine | undefined {
+export function toSendLine(line: LogLine): SendLine | undefined {
   const parsed = line.event === "send" ? sendSchema.safeParse(line) : undefined;
   return parsed?.success === true ? { ...line, ...parsed.data } : undefined;
 }
 
-export function toFinal(line: LogLine): FinalLine | undefined {
+export function toFinalLine(line: LogLine): FinalLine | undefined {
   const parsed = line.event === "final"
     ? finalSchema.safeParse(line)
     : undefined;
--- a/packages/proof/src/losses.ts
+++ b/packages/proof/src/losses.ts
@@ -5,7 +5,7 @@
  * For the morning after: it says which seconds and which reason to look at, and
  * `explain` then tells of one request of them.
  */
-import { type LogLine, toFinal, toSend } from "./log_line.ts";
+import { type LogLine, toFinalLine, toSendLine } from "./log_line.ts";
 
 /** What became of the requests that ended in one window. */
 export interface LossWindow {
@@ -14,12 +14,12 @@
   readonly ended: number;
   readonly answered: number;
   /** Requests that were not answered by a target, by reason; most first. */
-  readonly reasons: readonly Reason[];
+  readonly reasons: readonly LossReason[];
   /** Sends to the busiest target over the mean of those that got any. */
   readonly busiest: number;
 }
 
-export interface Reason {
+export interface LossReason {
   /** Kind of the failure, and what its message says without its numbers. */
   readonly text: string;
   readonly count: number;
@@ -61,7 +61,7 @@
 /** All windows together. */
 export function mergeReasons(
   windows: readonly LossWindow[],
-): readonly Reason[] {
+): readonly LossReason[] {
   const counts = new Map<string, number>();
   for (const { text, count } of windows.flatMap(({ reasons }) => reasons)) {
     counts.set(text, (counts.get(text) ?? 0) + count);
@@ -74,13 +74,13 @@
 }
 
 function recordLine(tally: Tally, line: LogLine): void {
-  const send = toSend(line);
+  const send = toSendLine(line);
   if (send !== undefined) {
     const { targetId } = send;
     tally.sends.set(targetId, (tally.sends.get(targetId) ?? 0) + 1);
     return;
   }
-  const final = toFinal(line);
+  const final = toFinalLine(line);
   if (final === undefined) {
     return;
   }
@@ -101,7 +101,9 @@
   return stem === "" ? outcome : `${outcome} (${stem})`;
 }
 
-function sortReasons(counts: ReadonlyMap<string, number>): readonly Reason[] {
+function sortReasons(
+  counts: ReadonlyMap<string, number>,
+): readonly LossReason[] {
   return [...counts]
     .map(([text, count]) => ({ text, count }))
     .sort((left, right) => right.count - left.count);
--- a/packages/trials/src/start/trial_report.ts
+++ b/packages/trials/src/start/trial_report.ts
@@ -1,7 +1,7 @@
 /** What a trial came to, from the targets' histories and callers' records. */
 import { existsSync, readFileSync } from "node:fs";
 import type { TargetRun } from "@lentilspur/ports/fake_target";
-import { type AuditReport, checkLines } from "@lentilspur/proof/audit";
+import { type AuditReport, checkPromises } from "@lentilspur/proof/audit";
 import { type LogLine, parseLines } from "@lentilspur/proof/log_line";
 import type { CallerRecord } from "../traffic/caller_record.ts";
 import {
@@ -63,7 +63,7 @@
     unknown: count("unknown", "none"),
     moves: countMoves(read.lines),
     unservedMsMax: Math.round(computeUnservedMsMax(records)),
-    audit: checkLines(read),
+    audit: checkPromises(read),
     violations: listViolations({
       records,
       runs,
