--- a/packages/cli/src/command_context.ts
+++ b/packages/cli/src/command_context.ts
@@ -15,7 +15,7 @@
 import type { ServeSettings } from "./setting_values.ts";
 
 /** The store together with the connections that it holds. */
-export interface OpenStore extends Store {
+export interface StoreConnection extends Store {
   close(): void;
 }
 
@@ -35,16 +35,16 @@
   print(line: string): void;
   /** One line for what went wrong. */
   printError(line: string): void;
-  openStore(address: string): OpenStore;
+  openStore(address: string): StoreConnection;
   /** Wall-clock time, only ever shown to people. */
-  readTime(): Date;
+  readWallClock(): Date;
   mintId(): string;
   /** The failure is a sentence. */
   startInstance(
     settings: ServeSettings,
   ): Promise<Result<RunningInstance, string>>;
   /** Resolves when somebody asks this process to stop. */
-  waitForStop(): Promise<void>;
+  waitForStopSignal(): Promise<void>;
 }
 
 export function createSystemContext(): CommandContext {
@@ -55,11 +55,11 @@
     print: (line) => console.log(line),
     printError: (line) => console.error(line),
     openStore: (address) => openStore(address, clock),
-    readTime: () => new Date(),
+    readWallClock: () => new Date(),
     mintId: () => randomUUID(),
     environment: process.env,
     startInstance,
-    waitForStop,
+    waitForStopSignal: waitForStopSignal,
   };
 }
 
@@ -76,7 +76,7 @@
   }
 }
 
-async function waitForStop(): Promise<void> {
+async function waitForStopSignal(): Promise<void> {
   await Promise.race([once(process, "SIGTERM"), once(process, "SIGINT")]);
   // A second signal must not cut off the requests that are being finished.
   process.on("SIGTERM", () => {});
--- a/packages/cli/src/commands/audit.ts
+++ b/packages/cli/src/commands/audit.ts
@@ -4,10 +4,10 @@
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
 import {
-  type CollectedLines,
-  lineFilesArgument,
-  runWithLines,
-} from "../line_files.ts";
+  type CollectedLogs,
+  logFilesArgument,
+  runWithLogs,
+} from "../log_files.ts";
 
 export function createAuditCommand(context: CommandContext) {
   return command({
@@ -16,16 +16,16 @@
       "Check from collected log lines that nothing ran twice that may run once only, that whoever was told not-run was told the truth, that answers came from targets, that each key had one owner under each token, and that no configuration went back. Says which files were read and how many lines are missing",
     args: {
       json: flag({ long: "json", description: "Print one JSON object" }),
-      files: lineFilesArgument,
+      files: logFilesArgument,
     },
     handler: ({ json, files }): Promise<ExitCode> =>
-      runWithLines(context, files, (lines) => printAudit(context, lines, json)),
+      runWithLogs(context, files, (lines) => printAudit(context, lines, json)),
   });
 }
 
 function printAudit(
   context: CommandContext,
-  collected: CollectedLines,
+  collected: CollectedLogs,
   json: boolean,
 ): ExitCode {
   const report = checkPromises(collected);
@@ -37,7 +37,7 @@
 }
 
 function describeReport(
-  { files }: CollectedLines,
+  { files }: CollectedLogs,
   report: AuditReport,
 ): readonly string[] {
   const { requests, sends, findings, missingLines, unreadableLines } = report;
--- a/packages/cli/src/commands/evacuate.ts
+++ b/packages/cli/src/commands/evacuate.ts
@@ -94,7 +94,9 @@
 ): Promise<ExitCode> {
   const written = await session.appendEvacuation(
     dataCentre,
-    isEvacuated ? { operator, at: context.readTime().toISOString() } : null,
+    isEvacuated
+      ? { operator, at: context.readWallClock().toISOString() }
+      : null,
   );
   if (!written.ok) {
     context.printError(describeStoreFailure(written.val));
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -4,7 +4,7 @@
 import { command, positional, string } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
-import { lineFilesArgument, runWithLines } from "../line_files.ts";
+import { logFilesArgument, runWithLogs } from "../log_files.ts";
 
 export function createExplainCommand(context: CommandContext) {
   return command({
@@ -23,10 +23,10 @@
         displayName: "REQUEST-ID",
         description: "As the answer's lentilspur-request-id says",
       }),
-      files: lineFilesArgument,
+      files: logFilesArgument,
     },
     handler: ({ requestId, files }): Promise<ExitCode> =>
-      runWithLines(
+      runWithLogs(
         context,
         files,
         ({ lines }) => printStory(context, lines, requestId),
--- a/packages/cli/src/commands/losses.ts
+++ b/packages/cli/src/commands/losses.ts
@@ -9,10 +9,10 @@
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
 import {
-  type CollectedLines,
-  lineFilesArgument,
-  runWithLines,
-} from "../line_files.ts";
+  type CollectedLogs,
+  logFilesArgument,
+  runWithLogs,
+} from "../log_files.ts";
 
 /** Long enough to hold some hundred requests, short enough to show a spell. */
 const DEFAULT_WINDOW_SECONDS = 2;
@@ -38,10 +38,10 @@
         defaultValue: () => DEFAULT_WINDOW_SECONDS,
         defaultValueIsSerializable: true,
       }),
-      files: lineFilesArgument,
+      files: logFilesArgument,
     },
     handler: ({ seconds, files }): Promise<ExitCode> =>
-      runWithLines(
+      runWithLogs(
         context,
         files,
         (collected) => printLosses(context, collected, seconds),
@@ -51,7 +51,7 @@
 
 function printLosses(
   context: CommandContext,
-  { lines }: CollectedLines,
+  { lines }: CollectedLogs,
   seconds: number,
 ): ExitCode {
   if (!(seconds > 0)) {
--- a/packages/cli/src/commands/owner.ts
+++ b/packages/cli/src/commands/owner.ts
@@ -8,7 +8,7 @@
 import { describeStoreFailure, type StoreSession } from "../store_session.ts";
 
 /** As `lentilspur serve` has it. */
-const DEFAULT_PARTS = 8;
+const DEFAULT_PARTITION_COUNT = 8;
 
 interface WantedKey {
   readonly template: string;
@@ -42,7 +42,7 @@
         long: "store-parts",
         type: number,
         description: "Partitions of the table of owners, as instances have it",
-        defaultValue: () => DEFAULT_PARTS,
+        defaultValue: () => DEFAULT_PARTITION_COUNT,
         defaultValueIsSerializable: true,
       }),
       store: storeOption,
@@ -73,7 +73,7 @@
   }
   const keyNumber = hashPathKey(key);
   const found = await session
-    .findOwner({ service: template, key: keyNumber, parts });
+    .findOwner({ service: template, key: keyNumber, partitionCount: parts });
   if (!found.ok) {
     context.printError(describeStoreFailure(found.val));
     return EXIT_CODES.unavailable;
--- a/packages/cli/src/commands/publish.ts
+++ b/packages/cli/src/commands/publish.ts
@@ -12,10 +12,10 @@
 import { readDeclarationFiles } from "../declaration_files.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
 import {
-  type Asked,
   describeMemberReport,
   isInForce,
-  toAsked,
+  type QueriedInstance,
+  toQueriedInstance,
   waitUntilInForce,
 } from "../in_force.ts";
 import { operatorOption } from "../operator_option.ts";
@@ -29,10 +29,10 @@
 import type { StoreSession } from "../store_session.ts";
 
 /** Covers a restart of the store and still lets an operator wait for the end. */
-const DEFAULT_PATIENCE_MS = 10_000;
+const DEFAULT_STORE_TIMEOUT_MS = 10_000;
 
 /** A publication is to be in force everywhere within 5 s. */
-const DEFAULT_IN_FORCE_MS = 5_000;
+const DEFAULT_IN_FORCE_TIMEOUT_MS = 5_000;
 
 const versionType = extendType(string, {
   displayName: "version",
@@ -92,12 +92,12 @@
       patience: createDurationOption(
         "patience",
         "How long to go on while the store does not answer",
-        DEFAULT_PATIENCE_MS,
+        DEFAULT_STORE_TIMEOUT_MS,
       ),
       waitInForce: createDurationOption(
         "wait-in-force",
         "How long to wait for every instance to have it in force",
-        DEFAULT_IN_FORCE_MS,
+        DEFAULT_IN_FORCE_TIMEOUT_MS,
       ),
       store: storeOption,
     },
@@ -124,10 +124,10 @@
     files: files.val,
     expectedVersion: args.expectVersion,
     operator: args.operator,
-    publishedAt: context.readTime().toISOString(),
+    publishedAt: context.readWallClock().toISOString(),
     allowRemovals: args.allowRemovals,
     nonce: makeNonce(context),
-    patienceMs: args.patience,
+    timeoutMs: args.patience,
     ...(args.resume === undefined ? {} : { resume: args.resume }),
   };
   const outcome = await publishConfiguration(session, request, context.clock);
@@ -144,23 +144,23 @@
   }
   return await reportInForce(context, session, {
     version: outcome.version,
-    patienceMs: args.waitInForce,
+    timeoutMs: args.waitInForce,
   });
 }
 
 /** The publisher's own time, for people who read the history. */
 function makeNonce(context: CommandContext): string {
-  const time = context.readTime().toISOString().replace(/[-:]|\.\d+/g, "");
+  const time = context.readWallClock().toISOString().replace(/[-:]|\.\d+/g, "");
   return `${time}-${context.mintId().slice(0, 8)}`;
 }
 
 async function reportInForce(
   context: CommandContext,
   session: StoreSession,
-  options: { readonly version: number; readonly patienceMs: number },
+  options: { readonly version: number; readonly timeoutMs: number },
 ): Promise<ExitCode> {
   const startedAt = context.clock.readMs();
-  let asked: readonly Asked[] = [];
+  let asked: readonly QueriedInstance[] = [];
   const reports = await waitUntilInForce({
     ...options,
     fetchStatus: context.fetchStatus,
@@ -168,7 +168,7 @@
     readMembers: async () => {
       // While the store does not answer, the members known so far are asked.
       const members = await session.listMembers();
-      asked = members.ok ? members.val.map(toAsked) : asked;
+      asked = members.ok ? members.val.map(toQueriedInstance) : asked;
       return asked;
     },
   });
--- a/packages/cli/src/commands/serve.ts
+++ b/packages/cli/src/commands/serve.ts
@@ -10,7 +10,7 @@
   type SettingName,
   SETTINGS,
 } from "../setting_table.ts";
-import { resolveSettings, type SettingTexts } from "../setting_values.ts";
+import { type RawSettings, resolveSettings } from "../setting_values.ts";
 
 export function createServeCommand(context: CommandContext) {
   return command({
@@ -60,7 +60,7 @@
 
 async function runInstance(
   context: CommandContext,
-  flags: SettingTexts["flags"],
+  flags: RawSettings["flags"],
 ): Promise<ExitCode> {
   const texts = { flags, environment: context.environment };
   const settings = resolveSettings(texts);
@@ -71,7 +71,7 @@
   }
   const { instance } = settings.val.gateway;
   // Listens before the start, so that a signal during it is not missed.
-  const stopping = context.waitForStop();
+  const stopping = context.waitForStopSignal();
   const started = await context.startInstance(settings.val);
   if (!started.ok) {
     context.printError(`Instance ${instance} cannot start: ${started.val}`);
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -3,23 +3,23 @@
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
 import {
-  type Asked,
   collectMemberReports,
   describeMemberReport,
   isGone,
   isInForce,
   type MemberReport,
-  toAsked,
+  type QueriedInstance,
+  toQueriedInstance,
 } from "../in_force.ts";
 import { optionalStoreOption, runWithStore } from "../store_options.ts";
 import { describeStoreFailure, type StoreSession } from "../store_session.ts";
 
 /** Two screens; beyond it only those that lag are worth reading. */
-const MAX_SHOWN = 48;
+const MAX_LISTED_INSTANCES = 48;
 
 /** What is asked for, and of whom. */
 interface StatusRequest {
-  readonly asked: readonly Asked[];
+  readonly asked: readonly QueriedInstance[];
   /** The version that should be in force; the highest found if unknown. */
   readonly version?: number;
   /** Where the record is still at hand. */
@@ -43,7 +43,7 @@
       all: flag({
         long: "all",
         description:
-          `List also those that have it, where there are more than ${MAX_SHOWN}`,
+          `List also those that have it, where there are more than ${MAX_LISTED_INSTANCES}`,
       }),
       instances: multioption({
         long: "instance",
@@ -83,14 +83,14 @@
   }
   const { version, notes } = session.publication;
   return await printStatus(context, {
-    asked: members.val.map(toAsked),
+    asked: members.val.map(toQueriedInstance),
     version,
     operator: notes.at(-1)?.operator,
     all,
   });
 }
 
-function toNamed(address: string): Asked {
+function toNamed(address: string): QueriedInstance {
   return { id: "instance", dataCentre: "unknown", address };
 }
 
@@ -102,7 +102,9 @@
   const reports = found.filter((report) => !isGone(report));
   const version = published ?? findHighestVersion(reports);
   const behind = reports.filter((report) => !isInForce(report, version));
-  const shown = all || reports.length <= MAX_SHOWN ? reports : behind;
+  const shown = all || reports.length <= MAX_LISTED_INSTANCES
+    ? reports
+    : behind;
   const by = operator === undefined ? "" : `, published by ${operator}`;
   context.print(`version ${version}${by}`);
   shown.forEach((report) =>
--- a/packages/cli/src/evacuate_test.ts
+++ b/packages/cli/src/evacuate_test.ts
@@ -4,20 +4,20 @@
 import { EXIT_CODES } from "./exit_codes.ts";
 import {
   FakePlatform,
+  FakeTerminal,
   makeDirectory,
-  Terminal,
 } from "./testing/fake_terminal.ts";
 
 const OPTIONS = ["--store=127.0.0.1:1", "--operator=neema"];
 
-function createTerminal(): Terminal {
+function createTerminal(): FakeTerminal {
   const platform = new FakePlatform();
   platform.addTarget("ledger-1", "bole");
   platform.addTarget("ledger-2", "yeka");
-  return new Terminal(platform);
+  return new FakeTerminal(platform);
 }
 
-function findNewest(terminal: Terminal, key: string): string | undefined {
+function findNewest(terminal: FakeTerminal, key: string): string | undefined {
   return terminal.platform.store.listRecords(PUBLISHED_CONFIGURATION)
     .findLast((record) => record.key === key)?.value;
 }
@@ -46,8 +46,8 @@
 test("a publication goes on beside an evacuation", async () => {
   // A publication is written only if its partition has not grown.
   const terminal = createTerminal();
-  const { link } = terminal;
-  terminal.link = {
+  const { storeClient: link } = terminal;
+  terminal.storeClient = {
     ...link,
     append: (request) => {
       if (request.at !== undefined && terminal.platform.recordCount === 0) {
--- a/packages/cli/src/in_force.ts
+++ b/packages/cli/src/in_force.ts
@@ -21,7 +21,7 @@
 const MAX_CONCURRENT = 64;
 
 /** Who is asked: a member as the store has it, or one that was named. */
-export interface Asked {
+export interface QueriedInstance {
   readonly id: string;
   readonly dataCentre: string;
   readonly address: string;
@@ -29,7 +29,7 @@
 
 /** Asks all, many at a time; reports come in the order of `asked`. */
 export async function collectMemberReports(
-  asked: readonly Asked[],
+  asked: readonly QueriedInstance[],
   fetchStatus: StatusFetcher,
 ): Promise<readonly MemberReport[]> {
   const reports: MemberReport[] = [];
@@ -60,9 +60,9 @@
   readonly version: number;
   readonly fetchStatus: StatusFetcher;
   readonly clock: Clock;
-  readonly patienceMs: number;
+  readonly timeoutMs: number;
   /** Reads who is a member now: one that left is not waited for. */
-  readonly readMembers: () => Promise<readonly Asked[]>;
+  readonly readMembers: () => Promise<readonly QueriedInstance[]>;
 }
 
 /** Pause between two rounds of questions. */
@@ -76,7 +76,7 @@
   options: InForceOptions,
 ): Promise<readonly MemberReport[]> {
   const { version, fetchStatus, clock } = options;
-  const giveUpAt = clock.readMs() + options.patienceMs;
+  const giveUpAt = clock.readMs() + options.timeoutMs;
   const done = new Map<string, MemberReport>();
   for (;;) {
     const members = await options.readMembers();
@@ -94,14 +94,14 @@
 }
 
 async function fetchReport(
-  { id, dataCentre, address }: Asked,
+  { id, dataCentre, address }: QueriedInstance,
   fetchStatus: StatusFetcher,
 ): Promise<MemberReport> {
   const status = await fetchStatus(address);
   return { instance: id, dataCentre, address, status };
 }
 
-export function toAsked(member: Member): Asked {
+export function toQueriedInstance(member: Member): QueriedInstance {
   const { instance: id, dataCentre, host, statusPort } = member;
   return { id, dataCentre, address: `${host}:${statusPort}` };
 }
--- a/packages/cli/src/line_files.ts
+++ b/packages/cli/src/log_files.ts
@@ -7,34 +7,34 @@
 import type { CommandContext } from "./command_context.ts";
 import { EXIT_CODES, type ExitCode } from "./exit_codes.ts";
 
-export interface LineFile {
+export interface LogFile {
   readonly name: string;
   /** SHA-256 of the file, in hex: says which evidence was looked at. */
   readonly digest: string;
 }
 
-export interface CollectedLines extends ParsedLines {
-  readonly files: readonly LineFile[];
+export interface CollectedLogs extends ParsedLines {
+  readonly files: readonly LogFile[];
 }
 
 /** The files that a command works on. */
-export const lineFilesArgument = restPositionals({
+export const logFilesArgument = restPositionals({
   type: string,
   displayName: "FILE",
   description: "Standard output of instances, as it was collected",
 });
 
 /** Reads the files and lets `act` work on their lines. */
-export async function runWithLines(
+export async function runWithLogs(
   context: CommandContext,
   names: readonly string[],
-  act: (lines: CollectedLines) => ExitCode,
+  act: (lines: CollectedLogs) => ExitCode,
 ): Promise<ExitCode> {
   if (names.length === 0) {
     context.printError("Name the files of collected lines");
     return EXIT_CODES.usage;
   }
-  const read = await readLineFiles(names);
+  const read = await readLogFiles(names);
   if (!read.ok) {
     context.printError(read.val);
     return EXIT_CODES.refused;
@@ -43,10 +43,10 @@
 }
 
 /** The failure is a sentence. */
-async function readLineFiles(
+async function readLogFiles(
   names: readonly string[],
-): Promise<Result<CollectedLines, string>> {
-  const files: LineFile[] = [];
+): Promise<Result<CollectedLogs, string>> {
+  const files: LogFile[] = [];
   const texts: string[] = [];
   for (const name of names) {
     try {
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -46,11 +46,11 @@
 }
 
 /** What cmd-ts gives for a subcommand, which may hold a subcommand itself. */
-interface Chosen {
-  readonly value: Promise<ExitCode> | ExitCode | Chosen;
+interface SubcommandResult {
+  readonly value: Promise<ExitCode> | ExitCode | SubcommandResult;
 }
 
-async function findExitCode({ value }: Chosen): Promise<ExitCode> {
+async function findExitCode({ value }: SubcommandResult): Promise<ExitCode> {
   const inner = await value;
   return typeof inner === "number" ? inner : await findExitCode(inner);
 }
--- a/packages/cli/src/operator_commands_test.ts
+++ b/packages/cli/src/operator_commands_test.ts
@@ -10,15 +10,15 @@
 import { EXIT_CODES } from "./exit_codes.ts";
 import {
   FakePlatform,
+  FakeTerminal,
   makeDirectory,
-  Terminal,
 } from "./testing/fake_terminal.ts";
 
 const STORE = "--store=127.0.0.1:1";
 
 test("shows who owns a key", async () => {
   const platform = new FakePlatform();
-  const terminal = new Terminal(platform);
+  const terminal = new FakeTerminal(platform);
   await terminal.publish(makeDirectory(), "--expect-version=0");
   terminal.takeOutput();
   const words = ["owner", "ledger", "case-9", STORE];
@@ -42,7 +42,7 @@
 });
 
 test("makes credentials that differ and whose digest fits", async () => {
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   await terminal.run("credential", "--json");
   await terminal.run("credential", "--json");
   const [first, second] = terminal.takeOutput().split("\n")
@@ -55,12 +55,12 @@
 });
 
 test("starts an instance from flags and variables and stops it", async () => {
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   terminal.environment["LENTILSPUR_DATA_CENTRE"] = "Bole";
   terminal.environment["LENTILSPUR_INSTANCE_NAME"] = "bole-1";
   const code = await terminal.run("serve", STORE, "--drain=3s");
   assert.equal(code, EXIT_CODES.done);
-  const [settings] = terminal.started;
+  const [settings] = terminal.startedSettings;
   assert.equal(settings?.gateway.dataCentre, "Bole");
   assert.equal(settings?.gateway.instance, "bole-1");
   assert.equal(settings?.gateway.drainMs, 3_000);
@@ -69,21 +69,21 @@
 });
 
 test("starts nothing while a setting is at fault", async () => {
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   const code = await terminal.run("serve", STORE, "--drain=3");
   assert.equal(code, EXIT_CODES.usage);
   assert.match(
     terminal.takeOutput(),
     /^--instance-name[^]*^--data-centre[^]*^--drain is "3"[^]*3 faults/m,
   );
-  assert.deepEqual(terminal.started, []);
+  assert.deepEqual(terminal.startedSettings, []);
 });
 
 test("explains a request and audits the lines around it", async () => {
   // A caller complains about a request. The instances' lines are at hand, one
   // file each; its id leads to what was decided, and the audit says whether
   // anything was broken.
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   const file = join(makeDirectory(), "lines.log");
   const common = {
     time: "2026-01-01T00:00:00.000Z",
--- a/packages/cli/src/publish_report.ts
+++ b/packages/cli/src/publish_report.ts
@@ -5,7 +5,7 @@
 import { MAX_RECORD_BYTES, type PublishOutcome } from "./publisher.ts";
 
 /** What is known beside the outcome. */
-export interface PublishCircumstances {
+export interface PublishContext {
   readonly notes: readonly PublicationNote[];
   readonly expectedVersion: number;
 }
@@ -13,7 +13,7 @@
 /** What became of it, then what to do next. */
 export function describeOutcome(
   outcome: PublishOutcome,
-  circumstances: PublishCircumstances,
+  circumstances: PublishContext,
 ): readonly string[] {
   switch (outcome.kind) {
     case "accepted":
@@ -87,7 +87,7 @@
 
 function describeSuperseded(
   version: number,
-  { notes, expectedVersion }: PublishCircumstances,
+  { notes, expectedVersion }: PublishContext,
 ): readonly string[] {
   const head =
     `Nothing was published: it was written against version ${expectedVersion}, but version ${version} is in force`;
--- a/packages/cli/src/publish_test.ts
+++ b/packages/cli/src/publish_test.ts
@@ -7,8 +7,8 @@
 import { EXIT_CODES } from "./exit_codes.ts";
 import {
   FakePlatform,
+  FakeTerminal,
   makeDirectory,
-  Terminal,
 } from "./testing/fake_terminal.ts";
 
 const STORE = "--store=127.0.0.1:1";
@@ -17,20 +17,22 @@
  * Longer than any command goes on. The virtual clock runs while a command reads
  * its files in real time, which takes many of its steps on a busy machine.
  */
-const LATE_MS = 600_000;
+const DELIVERY_DELAY_MS = 600_000;
 
 /**
  * A link on which the first append arrives long after, and every further one is
  * lost: nothing is answered.
  */
-function createSilence(link: Store, platform: FakePlatform): Store {
+function createUnresponsiveStore(link: Store, platform: FakePlatform): Store {
   let tries = 0;
   return {
     ...link,
     append: async (request: AppendRequest) => {
       tries++;
       if (tries === 1) {
-        void platform.clock.sleep(LATE_MS).then(() => link.append(request));
+        void platform.clock.sleep(DELIVERY_DELAY_MS).then(() =>
+          link.append(request)
+        );
       }
       await platform.clock.sleep(1_000);
       return Err({ kind: "unavailable", message: "No answer" });
@@ -39,7 +41,7 @@
 }
 
 test("publishes, shows the history and finds no difference after", async () => {
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
   const code = await terminal.publish(directory, "--expect-version=0");
   assert.equal(code, EXIT_CODES.done);
@@ -58,7 +60,10 @@
   // nothing of the second's reaches the store, and the second reads the name of
   // the first, the version now in force and the documents that changed.
   const platform = new FakePlatform();
-  const [first, second] = [new Terminal(platform), new Terminal(platform)];
+  const [first, second] = [
+    new FakeTerminal(platform),
+    new FakeTerminal(platform),
+  ];
   await first.publish(makeDirectory(64), "--expect-version=0");
   await first.publish(makeDirectory(128), "--expect-version=1");
   const code = await second.run(
@@ -80,9 +85,12 @@
   // Both read version 0 before either appends. The other's append comes first;
   // this one finds that the partition does not end where it has read to.
   const platform = new FakePlatform();
-  const [other, terminal] = [new Terminal(platform), new Terminal(platform)];
-  const { link } = terminal;
-  terminal.link = {
+  const [other, terminal] = [
+    new FakeTerminal(platform),
+    new FakeTerminal(platform),
+  ];
+  const { storeClient: link } = terminal;
+  terminal.storeClient = {
     ...link,
     append: async (request) => {
       await other.publish(makeDirectory(32), "--expect-version=0");
@@ -99,7 +107,7 @@
   // The store takes the record and the connection breaks before the answer. An
   // operator who is told "failed" would publish again; told is the truth.
   const platform = new FakePlatform();
-  const terminal = new Terminal(platform);
+  const terminal = new FakeTerminal(platform);
   platform.store.setFaultMode("terminal", "losing-answers");
   const running = terminal.publish(makeDirectory(), "--expect-version=0");
   void platform.clock.sleep(1_500)
@@ -113,17 +121,19 @@
   // The first append hangs in the platform, its repetition is accepted, and
   // the first arrives after all: one version, one line in the history.
   const platform = new FakePlatform();
-  const terminal = new Terminal(platform);
-  const { link } = terminal;
+  const terminal = new FakeTerminal(platform);
+  const { storeClient: link } = terminal;
   let tries = 0;
-  terminal.link = {
+  terminal.storeClient = {
     ...link,
     append: (request) => {
       tries++;
       if (tries > 1) {
         return link.append(request);
       }
-      void platform.clock.sleep(LATE_MS).then(() => link.append(request));
+      void platform.clock.sleep(DELIVERY_DELAY_MS).then(() =>
+        link.append(request)
+      );
       return Promise.resolve(
         Err({ kind: "unavailable", message: "No answer" }),
       );
@@ -131,22 +141,22 @@
   };
   const code = await terminal.publish(makeDirectory(), "--expect-version=0");
   assert.equal(code, EXIT_CODES.done);
-  await platform.clock.advance(LATE_MS);
+  await platform.clock.advance(DELIVERY_DELAY_MS);
   assert.equal(platform.recordCount, 1);
 });
 
 /** Publishes into a store that goes silent, and returns the id to resume. */
-async function publishIntoSilence(
-  terminal: Terminal,
+async function publishWithoutResponse(
+  terminal: FakeTerminal,
   directory: string,
 ): Promise<string> {
-  const { link } = terminal;
-  terminal.link = createSilence(link, terminal.platform);
+  const { storeClient: link } = terminal;
+  terminal.storeClient = createUnresponsiveStore(link, terminal.platform);
   const code = await terminal.publish(directory, "--expect-version=0");
   assert.equal(code, EXIT_CODES.unknown);
   const output = terminal.takeOutput();
   assert.match(output, /^UNKNOWN whether it was accepted/m);
-  terminal.link = link;
+  terminal.storeClient = link;
   return /--resume (\S+);/.exec(output)?.[1] ?? "";
 }
 
@@ -154,10 +164,10 @@
   // The store stops answering in the middle of a publication. Whether it took
   // the record cannot be known, so neither "accepted" nor "failed" is said.
   // After the outage the operator resumes; the record had arrived meanwhile.
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
-  const id = await publishIntoSilence(terminal, directory);
-  await terminal.platform.clock.advance(LATE_MS);
+  const id = await publishWithoutResponse(terminal, directory);
+  await terminal.platform.clock.advance(DELIVERY_DELAY_MS);
   const resume = ["--expect-version=0", `--resume=${id}`];
   assert.equal(await terminal.publish(directory, ...resume), EXIT_CODES.done);
   assert.match(terminal.takeOutput(), /Version 1 is accepted/);
@@ -165,12 +175,12 @@
 });
 
 test("resumes by appending anew where nothing had arrived", async () => {
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
-  const id = await publishIntoSilence(terminal, directory);
+  const id = await publishWithoutResponse(terminal, directory);
   const resume = ["--expect-version=0", `--resume=${id}`];
   assert.equal(await terminal.publish(directory, ...resume), EXIT_CODES.done);
-  await terminal.platform.clock.advance(LATE_MS);
+  await terminal.platform.clock.advance(DELIVERY_DELAY_MS);
   assert.equal(terminal.platform.recordCount, 1);
   await terminal.run("diff", directory, STORE);
   assert.match(terminal.takeOutput(), /No difference from version 1/);
@@ -179,8 +189,8 @@
 test("refuses to resume with other content than the first attempt", async () => {
   // The files changed while the outcome was unknown. Sent under the same id,
   // either content could win; so nothing is sent.
-  const terminal = new Terminal(new FakePlatform());
-  const id = await publishIntoSilence(terminal, makeDirectory());
+  const terminal = new FakeTerminal(new FakePlatform());
+  const id = await publishWithoutResponse(terminal, makeDirectory());
   const resume = ["--expect-version=0", `--resume=${id}`];
   const code = await terminal.publish(makeDirectory(7), ...resume);
   assert.equal(code, EXIT_CODES.refused);
@@ -188,9 +198,9 @@
 });
 
 test("tells a lost publication as refused once another took its version", async () => {
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
-  const id = await publishIntoSilence(terminal, directory);
+  const id = await publishWithoutResponse(terminal, directory);
   await terminal.publish(makeDirectory(9), "--expect-version=0");
   terminal.takeOutput();
   const resume = ["--expect-version=0", `--resume=${id}`];
@@ -203,9 +213,9 @@
   // The operator resumes after a holiday. Twenty-one versions have come since,
   // and only the last notes are kept: the lost publication may be among those
   // that are not told any more.
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
-  const id = await publishIntoSilence(terminal, directory);
+  const id = await publishWithoutResponse(terminal, directory);
   for (let version = 0; version <= 20; version++) {
     await terminal.publish(
       makeDirectory(100 + version),
@@ -221,16 +231,16 @@
 
 test("says that nothing was published when the store cannot be reached", async () => {
   const platform = new FakePlatform();
-  const terminal = new Terminal(platform);
-  const { link } = terminal;
-  terminal.link = {
+  const terminal = new FakeTerminal(platform);
+  const { storeClient: link } = terminal;
+  terminal.storeClient = {
     ...link,
     append: () =>
       Promise.resolve(Err({ kind: "refused", message: "no connection" })),
   };
   const code = await terminal.publish(makeDirectory(), "--expect-version=0");
   assert.equal(code, EXIT_CODES.unavailable);
-  terminal.link = link;
+  terminal.storeClient = link;
   platform.store.setFaultMode("terminal", "silent");
   const again = await terminal.publish(makeDirectory(), "--expect-version=0");
   assert.equal(again, EXIT_CODES.unavailable);
@@ -240,7 +250,7 @@
 test("removes documents only when asked to", async () => {
   // A file is missing from a checkout. Publishing it would lock a client
   // account out, so the removal is named and refused unless asked for.
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   await terminal.publish(makeDirectory(64, "nile"), "--expect-version=0");
   const renamed = makeDirectory(64, "awash");
   const refused = await terminal.publish(renamed, "--expect-version=1");
@@ -253,7 +263,7 @@
 test("names the instances that lag or do not answer", async () => {
   const platform = new FakePlatform();
   ["a", "b", "c"].forEach((id) => platform.addMember(id));
-  const terminal = new Terminal(platform);
+  const terminal = new FakeTerminal(platform);
   terminal.versions.set("a", 1).set("b", 0);
   const code = await terminal.publish(makeDirectory(), "--expect-version=0");
   assert.equal(code, EXIT_CODES.lagging);
@@ -271,7 +281,7 @@
 });
 
 test("asks named instances while the store is down", async () => {
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   terminal.platform.store.setFaultMode("terminal", "silent");
   terminal.versions.set("a", 4).set("b", 3);
   const asked = ["--instance=a:1", "--instance=b:1"];
@@ -286,16 +296,16 @@
   const platform = new FakePlatform();
   platform.addMember("a");
   platform.addMember("b");
-  const terminal = new Terminal(platform);
+  const terminal = new FakeTerminal(platform);
   terminal.versions.set("a", 1);
-  terminal.gone.add("b");
+  terminal.stoppedInstances.add("b");
   const code = await terminal.publish(makeDirectory(), "--expect-version=0");
   assert.equal(code, EXIT_CODES.done);
   assert.match(terminal.takeOutput(), /In force on 1 of 1 instances/);
 });
 
 test("shows what is in force in a form that changes nothing", async () => {
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   await terminal.publish(makeDirectory(), "--expect-version=0");
   terminal.takeOutput();
   await terminal.run("show", STORE);
@@ -306,7 +316,7 @@
 });
 
 test("tells wrong usage apart from a refusal", async () => {
-  const terminal = new Terminal(new FakePlatform());
+  const terminal = new FakeTerminal(new FakePlatform());
   const code = await terminal.publish(makeDirectory(), "--expect-version=one");
   assert.equal(code, EXIT_CODES.usage);
   assert.match(terminal.takeOutput(), /"one" is no version/);
--- a/packages/cli/src/publisher.ts
+++ b/packages/cli/src/publisher.ts
@@ -31,7 +31,7 @@
   readonly nonce: string;
   /** Id of an earlier publication whose outcome stayed unknown. */
   readonly resume?: string;
-  readonly patienceMs: number;
+  readonly timeoutMs: number;
 }
 
 export type PublishOutcome =
@@ -60,7 +60,7 @@
 /** What the platform's store takes as one record. */
 export const MAX_RECORD_BYTES = 262_144;
 /** Between two tries while the store does not answer. */
-const RETRY_MS = 250;
+const RETRY_DELAY_MS = 250;
 const ID_SEPARATOR = "/";
 const DIGEST_CHARACTERS = 16;
 
@@ -80,7 +80,7 @@
   }
   const planned = planPublication(session.publication, request);
   return planned.kind === "planned"
-    ? await new Appending(session, planned, { request, clock }).run()
+    ? await new PublicationAppender(session, planned, { request, clock }).run()
     : planned;
 }
 
@@ -184,13 +184,13 @@
  * one condition, so at most one of them takes effect, also of those that arrive
  * late.
  */
-class Appending {
+class PublicationAppender {
   readonly #session: StoreSession;
   readonly #planned: PlannedPublication;
   readonly #clock: Clock;
-  readonly #giveUpAtMs: number;
+  readonly #deadlineMs: number;
   /** Whether a try may have taken effect, or may yet. */
-  #mayBeDone: boolean;
+  #mayBeAppended: boolean;
 
   constructor(
     session: StoreSession,
@@ -203,32 +203,32 @@
     this.#session = session;
     this.#planned = planned;
     this.#clock = clock;
-    this.#giveUpAtMs = clock.readMs() + request.patienceMs;
-    this.#mayBeDone = request.resume !== undefined;
+    this.#deadlineMs = clock.readMs() + request.timeoutMs;
+    this.#mayBeAppended = request.resume !== undefined;
   }
 
   async run(): Promise<PublishOutcome> {
     const { publicationId, version, text } = this.#planned;
     for (;;) {
-      const appended = await this.#session.append(text);
+      const appended = await this.#session.appendPublication(text);
       if (appended.ok) {
         return { kind: "accepted", version, publicationId };
       }
       if (appended.val.kind === "conflict") {
-        const winner = await this.#findWinner();
+        const winner = await this.#resolveConflict();
         if (winner !== undefined) {
           return winner;
         }
         continue;
       }
-      this.#mayBeDone ||= appended.val.kind === "unavailable";
+      this.#mayBeAppended ||= appended.val.kind === "unavailable";
       const message = describeStoreFailure(appended.val);
-      if (this.#clock.readMs() >= this.#giveUpAtMs) {
-        return this.#mayBeDone
+      if (this.#clock.readMs() >= this.#deadlineMs) {
+        return this.#mayBeAppended
           ? { kind: "unknown", publicationId, message }
           : { kind: "not-appended", message };
       }
-      await this.#clock.sleep(RETRY_MS);
+      await this.#clock.sleep(RETRY_DELAY_MS);
     }
   }
 
@@ -236,10 +236,10 @@
    * The partition has moved on: by an earlier try of this, or by another.
    * Undefined where no publication was written since, but an evacuation.
    */
-  async #findWinner(): Promise<PublishOutcome | undefined> {
+  async #resolveConflict(): Promise<PublishOutcome | undefined> {
     const { publicationId } = this.#planned;
     for (;;) {
-      const read = await this.#session.readAnew();
+      const read = await this.#session.readPublications();
       if (read.ok) {
         const { version, notes } = this.#session.publication;
         const found = notes.find(({ id }) => id === publicationId);
@@ -250,11 +250,11 @@
           ? { kind: "superseded", version }
           : undefined;
       }
-      if (this.#clock.readMs() >= this.#giveUpAtMs) {
+      if (this.#clock.readMs() >= this.#deadlineMs) {
         const message = describeStoreFailure(read.val);
         return { kind: "unknown", publicationId, message };
       }
-      await this.#clock.sleep(RETRY_MS);
+      await this.#clock.sleep(RETRY_DELAY_MS);
     }
   }
 }
--- a/packages/cli/src/setting_values.ts
+++ b/packages/cli/src/setting_values.ts
@@ -16,7 +16,7 @@
   type SettingValues,
 } from "./setting_table.ts";
 
-export interface SettingTexts {
+export interface RawSettings {
   /** Given flags; they go before the environment. */
   readonly flags: Readonly<Partial<Record<SettingName, string | undefined>>>;
   readonly environment: Readonly<Record<string, string | undefined>>;
@@ -35,7 +35,7 @@
 
 /** The failures are sentences. */
 export function resolveSettings(
-  texts: SettingTexts,
+  texts: RawSettings,
 ): Result<ServeSettings, readonly string[]> {
   const faults = [...listUnknownVariables(texts.environment)];
   const values = new Map<SettingName, unknown>();
@@ -57,7 +57,7 @@
 
 function resolveSetting(
   name: SettingName,
-  { flags, environment }: SettingTexts,
+  { flags, environment }: RawSettings,
 ): Result<unknown, string> {
   const setting: Setting<unknown> = SETTINGS[name];
   const flag = `--${getFlagName(name)}`;
@@ -81,7 +81,7 @@
 
 /** A misspelt variable would otherwise leave its default in force silently. */
 function listUnknownVariables(
-  environment: SettingTexts["environment"],
+  environment: RawSettings["environment"],
 ): readonly string[] {
   const known = [
     ...listSettingNames().map(getVariableName),
--- a/packages/cli/src/store_options.ts
+++ b/packages/cli/src/store_options.ts
@@ -67,7 +67,7 @@
   const store = context.openStore(address);
   try {
     const session = new StoreSession(store);
-    const read = await session.readAnew();
+    const read = await session.readPublications();
     if (!read.ok) {
       context.printError(describeStoreFailure(read.val));
       return EXIT_CODES.unavailable;
--- a/packages/cli/src/store_session.ts
+++ b/packages/cli/src/store_session.ts
@@ -31,7 +31,7 @@
   readonly #store: Store;
   #publication = EMPTY_PUBLICATION;
   #evacuated: readonly string[] = [];
-  #end = 0;
+  #endOffset = 0;
 
   constructor(store: Store) {
     this.#store = store;
@@ -47,7 +47,7 @@
     return this.#evacuated;
   }
 
-  async readAnew(): Promise<Result<void, SessionFailure>> {
+  async readPublications(): Promise<Result<void, SessionFailure>> {
     const read = await this.#store.readNewest(PUBLISHED_CONFIGURATION);
     if (!read.ok) {
       return Err(read.val);
@@ -64,17 +64,17 @@
     }
     this.#publication = parsed.val;
     this.#evacuated = listEvacuated(records);
-    this.#end = end;
+    this.#endOffset = end;
     return Ok(undefined);
   }
 
   /** Appends only if nothing was written since the last read. */
-  append(value: string): Promise<Result<number, StoreFailure>> {
+  appendPublication(value: string): Promise<Result<number, StoreFailure>> {
     return this.#store.append({
       partition: PUBLISHED_CONFIGURATION,
       key: PUBLISHED_CONFIGURATION.key,
       value,
-      at: this.#end,
+      at: this.#endOffset,
     });
   }
 
@@ -121,10 +121,10 @@
     options: {
       readonly service: string;
       readonly key: number;
-      readonly parts: number;
+      readonly partitionCount: number;
     },
   ): Promise<Result<OwnedRange | undefined, SessionFailure>> {
-    const { service, key, parts } = options;
+    const { service, key, partitionCount: parts } = options;
     const part = choosePartition(service, parts);
     const read = await this.#store.readNewest({ topic: OWNERS_TOPIC, part });
     if (!read.ok) {
--- a/packages/cli/src/testing/fake_terminal.ts
+++ b/packages/cli/src/testing/fake_terminal.ts
@@ -19,7 +19,7 @@
 import type { ServeSettings } from "../setting_values.ts";
 
 /** How far the clock moves at a time while a command runs. */
-const STEP_MS = 50;
+const CLOCK_STEP_MS = 50;
 
 const STOP_AFTER_MS = 1_000;
 const STATUS_PORT = 1;
@@ -62,25 +62,25 @@
 }
 
 /** One operator's terminal, with a connection to the store of its own. */
-export class Terminal {
+export class FakeTerminal {
   readonly platform: FakePlatform;
   /** Replaced by tests that play what happens on the way. */
-  link: Store;
+  storeClient: Store;
   /** What each instance answers when asked for its version; others are silent. */
   readonly versions = new Map<string, number>();
   /** Data centres that each instance says it sends nothing to. */
   evacuated: readonly string[] = [];
   /** Instances whose process has ended. */
-  readonly gone = new Set<string>();
+  readonly stoppedInstances = new Set<string>();
   readonly environment: Record<string, string> = {};
   /** Settings of the instances that were started here. */
-  readonly started: ServeSettings[] = [];
+  readonly startedSettings: ServeSettings[] = [];
   stopCount = 0;
   readonly #lines: string[] = [];
 
   constructor(platform: FakePlatform, name = "terminal") {
     this.platform = platform;
-    this.link = platform.store.createClient(name);
+    this.storeClient = platform.store.createClient(name);
   }
 
   /** Returns the exit code; the output is in `takeOutput`. */
@@ -89,7 +89,7 @@
     const running = runCommandLine(words, this.#createContext())
       .finally(() => isDone = true);
     while (!isDone) {
-      await this.platform.clock.advance(STEP_MS);
+      await this.platform.clock.advance(CLOCK_STEP_MS);
     }
     return await running;
   }
@@ -114,7 +114,7 @@
       fetchStatus: (address) => {
         const [instance = ""] = address.split(":");
         const version = this.versions.get(instance);
-        const kind = this.gone.has(instance) ? "gone" : "silent";
+        const kind = this.stoppedInstances.has(instance) ? "gone" : "silent";
         return Promise.resolve(
           version === undefined ? Err({ kind, message: "timed out" }) : Ok({
             instance,
@@ -132,12 +132,12 @@
       },
       print: (line) => void this.#lines.push(line),
       printError: (line) => void this.#lines.push(line),
-      openStore: () => ({ ...this.link, close: () => {} }),
-      readTime: () => new Date(0),
+      openStore: () => ({ ...this.storeClient, close: () => {} }),
+      readWallClock: () => new Date(0),
       mintId: () => "0a1b2c3d-rest",
       environment: this.environment,
       startInstance: (settings) => {
-        this.started.push(settings);
+        this.startedSettings.push(settings);
         const ports = { request: 8080, status: 8082, peer: 8081, metrics: 1 };
         return Promise.resolve(Ok({
           host: "127.0.0.1",
@@ -145,7 +145,7 @@
           stop: () => Promise.resolve(void this.stopCount++),
         }));
       },
-      waitForStop: () => this.platform.clock.sleep(STOP_AFTER_MS),
+      waitForStopSignal: () => this.platform.clock.sleep(STOP_AFTER_MS),
     };
   }
 }
