--- a/packages/trials/src/load/places_simulation.ts
+++ b/packages/trials/src/load/places_simulation.ts
@@ -20,10 +20,10 @@
 }
 
 /** Requests of one kind. */
-export interface Stream {
+export interface RequestStream {
   readonly perSecond: (nowMs: number) => number;
-  readonly rank: number;
-  readonly goalMs: number;
+  readonly priority: number;
+  readonly latencyGoalMs: number;
   readonly deadlineMs: number;
   /** The only target that may run a request, where there is one. */
   readonly chooseOwner?: (random: TrafficRandom) => string;
@@ -36,10 +36,13 @@
   readonly dataCentres: readonly string[];
   readonly targets: readonly SimulatedTarget[];
   readonly workMs: number;
-  readonly streams: readonly Stream[];
-  readonly lengthMs: number;
+  readonly streams: readonly RequestStream[];
+  readonly durationMs: number;
   /** How often an instance tells others what it has; 40 and 250 where left out. */
-  readonly telling?: { readonly nearMs: number; readonly farMs: number };
+  readonly reportIntervals?: {
+    readonly nearMs: number;
+    readonly farMs: number;
+  };
 }
 
 /** What the callers of one stream got. */
@@ -62,7 +65,7 @@
 /** One way between an instance and a target. */
 const TRAVEL_MS = 1;
 /** As a dozen instances do. */
-const USUAL_TELLING = { nearMs: 40, farMs: 250 };
+const DEFAULT_REPORT_INTERVALS = { nearMs: 40, farMs: 250 };
 const TICK_MS = 20;
 
 interface Counter {
@@ -84,7 +87,7 @@
   readonly #target: SimulatedTarget;
   readonly #waiting: QueuedWork[] = [];
   #running = 0;
-  max = 0;
+  maxLength = 0;
 
   constructor(events: EventQueue, target: SimulatedTarget) {
     this.#events = events;
@@ -97,7 +100,10 @@
 
   add(work: QueuedWork): void {
     this.#waiting.push(work);
-    this.max = Math.max(this.max, this.#running + this.#waiting.length);
+    this.maxLength = Math.max(
+      this.maxLength,
+      this.#running + this.#waiting.length,
+    );
     this.#advance();
   }
 
@@ -130,7 +136,7 @@
     for (const target of scenario.targets) {
       this.#queues.set(target.id, new TargetQueue(this.#events, target));
     }
-    const targets = scenario.targets.map(toRoutingTarget);
+    const targets = scenario.targets.map(toKnownTarget);
     for (let index = 0; index < scenario.instances; index++) {
       const places = new ServicePlaces({
         dataCentre: this.#getDataCentre(index),
@@ -151,18 +157,24 @@
   }
 
   run(): LoadResult {
-    const { streams, lengthMs, instances, telling = USUAL_TELLING } =
-      this.#scenario;
+    const {
+      streams,
+      durationMs: lengthMs,
+      instances,
+      reportIntervals: telling = DEFAULT_REPORT_INTERVALS,
+    } = this.#scenario;
     streams.forEach((_, index) => this.#scheduleArrival(index));
     for (let index = 0; index < instances; index++) {
       this.#scheduleTick(index);
-      this.#scheduleTelling(index, telling.nearMs, true);
-      this.#scheduleTelling(index, telling.farMs, false);
+      this.#scheduleLoadReport(index, telling.nearMs, true);
+      this.#scheduleLoadReport(index, telling.farMs, false);
     }
     this.#events.runUntil(lengthMs);
     return {
       streams: this.#counters,
-      maxAtTarget: Math.max(...[...this.#queues.values()].map((q) => q.max)),
+      maxAtTarget: Math.max(
+        ...[...this.#queues.values()].map((q) => q.maxLength),
+      ),
     };
   }
 
@@ -176,7 +188,7 @@
     const perSecond = this.#scenario.streams[stream]!.perSecond(nowMs);
     const gapMs = this.#random.drawExponential(1_000 / perSecond);
     this.#events.schedule(gapMs, () => {
-      this.#offer(stream);
+      this.#sendRequest(stream);
       this.#scheduleArrival(stream);
     });
   }
@@ -189,7 +201,7 @@
   }
 
   /** What an instance has at each target reaches the others. */
-  #scheduleTelling(instance: number, gapMs: number, near: boolean): void {
+  #scheduleLoadReport(instance: number, gapMs: number, near: boolean): void {
     this.#events.schedule(gapMs * (0.5 + this.#random.draw()), () => {
       const own = this.#places[instance]!;
       const counts = own.listLoads()
@@ -209,13 +221,14 @@
           });
         }
       });
-      this.#scheduleTelling(instance, gapMs, near);
+      this.#scheduleLoadReport(instance, gapMs, near);
     });
   }
 
-  #offer(stream: number): void {
+  #sendRequest(stream: number): void {
     const { streams, instances, workMs } = this.#scenario;
-    const { rank, goalMs, chooseOwner, share } = streams[stream]!;
+    const { priority: rank, latencyGoalMs: goalMs, chooseOwner, share } =
+      streams[stream]!;
     const { nowMs } = this.#events;
     const instance = this.#random.drawIndex(instances);
     const requestId = `${this.#requests++}`;
@@ -235,11 +248,11 @@
       },
       nowMs,
       (decision) =>
-        this.#settle({ stream, instance, requestId, nowMs }, decision),
+        this.#handleDecision({ stream, instance, requestId, nowMs }, decision),
     );
   }
 
-  #settle(
+  #handleDecision(
     request: {
       readonly stream: number;
       readonly instance: number;
@@ -250,7 +263,8 @@
   ): void {
     const { stream, instance, requestId, nowMs: arrivedAtMs } = request;
     const counter = this.#counters[stream]!;
-    const { goalMs, deadlineMs } = this.#scenario.streams[stream]!;
+    const { latencyGoalMs: goalMs, deadlineMs } = this.#scenario
+      .streams[stream]!;
     if (decision.kind === "refused") {
       counter.refused++;
       const heldMs = this.#events.nowMs - arrivedAtMs;
@@ -273,12 +287,12 @@
         counter.late += tookMs > goalMs ? 1 : 0;
         places.dispatchQueued(nowMs);
       });
-    const workMs = this.#random.drawService(this.#scenario.workMs);
+    const workMs = this.#random.drawServiceTime(this.#scenario.workMs);
     this.#events.schedule(TRAVEL_MS, () => queue.add({ workMs, finish }));
   }
 }
 
-function toRoutingTarget({ id, dataCentre }: SimulatedTarget): KnownTarget {
+function toKnownTarget({ id, dataCentre }: SimulatedTarget): KnownTarget {
   return {
     id,
     service: "files",
--- a/packages/trials/src/load/places_simulation_test.ts
+++ b/packages/trials/src/load/places_simulation_test.ts
@@ -4,8 +4,8 @@
   type LoadResult,
   type LoadScenario,
   PlacesSimulation,
+  type RequestStream,
   type SimulatedTarget,
-  type Stream,
   type StreamResult,
 } from "./places_simulation.ts";
 
@@ -27,12 +27,12 @@
   }));
 }
 
-function createStream(perSecond: Stream["perSecond"]): Stream {
-  return { perSecond, rank: 1, goalMs: 250, deadlineMs: 1_500 };
+function createStream(perSecond: RequestStream["perSecond"]): RequestStream {
+  return { perSecond, priority: 1, latencyGoalMs: 250, deadlineMs: 1_500 };
 }
 
 function runScenario(
-  streams: readonly Stream[],
+  streams: readonly RequestStream[],
   changes: Partial<LoadScenario> = {},
 ): LoadResult {
   return new PlacesSimulation({
@@ -41,7 +41,7 @@
     dataCentres: DATA_CENTRES,
     targets: createTargets(),
     workMs: WORK_MS,
-    lengthMs: LENGTH_MS,
+    durationMs: LENGTH_MS,
     streams,
     ...changes,
   }).run();
@@ -70,7 +70,7 @@
 });
 
 test("overload of what is less urgent leaves the urgent in time", () => {
-  const urgent = { ...createStream(() => 0.3 * CAPACITY), rank: 0 };
+  const urgent = { ...createStream(() => 0.3 * CAPACITY), priority: 0 };
   const { streams: [first, second] } = runScenario([
     urgent,
     createStream(() => 1.5 * CAPACITY),
@@ -110,10 +110,10 @@
     dataCentre: "bole",
     getSpeed: () => speeds[index % speeds.length]!,
   }));
-  const stream: Stream = {
+  const stream: RequestStream = {
     perSecond: () => 76,
-    rank: 1,
-    goalMs: 1_000,
+    priority: 1,
+    latencyGoalMs: 1_000,
     deadlineMs: 3_000,
   };
   const { streams: [result], maxAtTarget } = runScenario([stream], {
@@ -121,8 +121,8 @@
     dataCentres: ["bole"],
     targets,
     workMs: 300,
-    lengthMs: 5_000,
-    telling: { nearMs: 150, farMs: 300 },
+    durationMs: 5_000,
+    reportIntervals: { nearMs: 150, farMs: 300 },
   });
   assert.ok(computeInTime(result!) > 0.85, JSON.stringify(result));
   assert.ok(result!.refused < 0.02 * result!.asked, JSON.stringify(result));
@@ -133,11 +133,11 @@
 test("an account that floods leaves more to the other than the order of arrival", () => {
   // Both have the same weight. One asks for one and a half times what all
   // targets can do, the other for a third of it.
-  const flood: Stream = {
+  const flood: RequestStream = {
     ...createStream(() => 1.5 * CAPACITY),
     share: { clientAccount: "flood", weight: 1 },
   };
-  const modest: Stream = {
+  const modest: RequestStream = {
     ...createStream(() => 0.3 * CAPACITY),
     share: { clientAccount: "modest", weight: 1 },
   };
--- a/packages/trials/src/measure/load_measurement.ts
+++ b/packages/trials/src/measure/load_measurement.ts
@@ -1,5 +1,8 @@
 /** What callers get of 12 instances and 12 targets, by load. No clock counts. */
-import { PlacesSimulation, type Stream } from "../load/places_simulation.ts";
+import {
+  PlacesSimulation,
+  type RequestStream,
+} from "../load/places_simulation.ts";
 import type { TrafficRandom } from "../traffic/traffic_random.ts";
 import type { MeasuredTable } from "./measured_table.ts";
 
@@ -34,10 +37,10 @@
 }
 
 function measureRow(load: number, keyed: boolean) {
-  const stream: Stream = {
+  const stream: RequestStream = {
     perSecond: () => load * CAPACITY,
-    rank: 1,
-    goalMs: 250,
+    priority: 1,
+    latencyGoalMs: 250,
     deadlineMs: 1_500,
     ...(keyed ? { chooseOwner } : {}),
   };
@@ -48,7 +51,7 @@
       dataCentres: DATA_CENTRES,
       targets: TARGETS,
       workMs: WORK_MS,
-      lengthMs: LENGTH_MS,
+      durationMs: LENGTH_MS,
       streams: [stream],
     }).run()
   );
--- a/packages/trials/src/measure/process_measurement.ts
+++ b/packages/trials/src/measure/process_measurement.ts
@@ -8,8 +8,11 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { build } from "hdr-histogram-js";
 import { request } from "undici";
-import { type InstanceProcess, Processes } from "../start/processes.ts";
-import { readMachineMs } from "../traffic/caller.ts";
+import {
+  DeploymentProcesses,
+  type InstanceProcess,
+} from "../start/deployment_processes.ts";
+import { readMonotonicMs } from "../traffic/caller.ts";
 import { ABAY } from "../traffic/deployment.ts";
 import type { MeasuredTable } from "./measured_table.ts";
 
@@ -24,7 +27,7 @@
 /** Ticks of processor time a second, as Linux counts them for processes. */
 const TICKS_PER_SECOND = 100;
 
-interface Usage {
+interface ResourceUsage {
   readonly cpuMs: number;
   readonly memoryMb: number;
   readonly storeCalls: number;
@@ -35,13 +38,13 @@
   const targets = ABAY.targets
     .map((group) => ({ ...group, count: TARGETS_PER_SERVICE }));
   const deployment = { ...ABAY, instances: INSTANCES, targets };
-  const processes = new Processes({
+  const processes = new DeploymentProcesses({
     deployment,
     directory,
-    hasLinks: false,
+    hasFaultyLinks: false,
   });
   try {
-    await processes.startPlatform();
+    await processes.startStore();
     await processes.startTargets();
     await processes.startInstances();
     await processes.runCommand([
@@ -87,11 +90,11 @@
 async function measureRequests(instance: InstanceProcess) {
   const histogram = build();
   const before = await readUsage(instance);
-  const endsAtMs = readMachineMs() + LOAD_MS;
+  const endsAtMs = readMonotonicMs() + LOAD_MS;
   let count = 0;
   const runLane = async (lane: number): Promise<void> => {
-    for (let turn = lane; readMachineMs() < endsAtMs; turn += CONNECTIONS) {
-      const sentAtMs = readMachineMs();
+    for (let turn = lane; readMonotonicMs() < endsAtMs; turn += CONNECTIONS) {
+      const sentAtMs = readMonotonicMs();
       const answer = await request(
         `http://${instance.address}/case-files/case-${turn % 997}`,
         {
@@ -101,10 +104,12 @@
       await answer.body.dump();
       if (answer.statusCode === 200) {
         count++;
-        histogram.recordValue(Math.round((readMachineMs() - sentAtMs) * 1_000));
+        histogram.recordValue(
+          Math.round((readMonotonicMs() - sentAtMs) * 1_000),
+        );
       }
       const dueAtMs = sentAtMs + 1_000 * CONNECTIONS / REQUESTS_PER_SECOND;
-      await sleep(Math.max(0, dueAtMs - readMachineMs()));
+      await sleep(Math.max(0, dueAtMs - readMonotonicMs()));
     }
   };
   const lanes = Array.from({ length: CONNECTIONS }, (_, lane) => runLane(lane));
@@ -121,7 +126,9 @@
   ] as const;
 }
 
-async function readUsage({ child, logFile }: InstanceProcess): Promise<Usage> {
+async function readUsage(
+  { child, logFile }: InstanceProcess,
+): Promise<ResourceUsage> {
   const [, stat = ""] = readFileSync(`/proc/${child.processId}/stat`, "utf8")
     .split(") ");
   const fields = stat.split(" ").map(Number);
--- a/packages/trials/src/soak/faulty_link.ts
+++ b/packages/trials/src/soak/faulty_link.ts
@@ -5,7 +5,7 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
-export type LinkMood =
+export type LinkFaultMode =
   | "passing"
   /** Bytes and new connections go nowhere; those that are open stay open. */
   | "silent"
@@ -22,13 +22,13 @@
   readonly #target: string;
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
-  #mood: LinkMood = "passing";
+  #faultMode: LinkFaultMode = "passing";
   /** Pieces that wait for the link to pass again. */
-  #held: (() => void)[] = [];
+  #blockedTransfers: (() => void)[] = [];
 
   constructor(target: string) {
     this.#target = target;
-    this.#server = createServer((near) => this.#join(near));
+    this.#server = createServer((near) => this.#openConnection(near));
   }
 
   /** Listens and gives the address to connect to. */
@@ -40,14 +40,14 @@
   }
 
   /** Pieces that were held up arrive when the link passes again. */
-  setMood(mood: LinkMood): void {
-    this.#mood = mood;
+  setFaultMode(mood: LinkFaultMode): void {
+    this.#faultMode = mood;
     if (mood === "resetting") {
-      this.#held = [];
+      this.#blockedTransfers = [];
       this.#sockets.forEach((socket) => socket.resetAndDestroy());
     }
     if (mood === "passing") {
-      this.#held.splice(0).forEach((release) => release());
+      this.#blockedTransfers.splice(0).forEach((release) => release());
     }
   }
 
@@ -56,8 +56,8 @@
     this.#sockets.forEach((socket) => socket.destroy());
   }
 
-  #join(near: Socket): void {
-    if (this.#mood === "resetting") {
+  #openConnection(near: Socket): void {
+    if (this.#faultMode === "resetting") {
       near.resetAndDestroy();
       return;
     }
@@ -70,7 +70,7 @@
   #forward(
     from: Socket,
     to: Socket,
-    holding: readonly LinkMood[],
+    holding: readonly LinkFaultMode[],
   ): void {
     this.#sockets.add(from);
     from.on("data", (bytes) => this.#transfer(() => to.write(bytes), holding));
@@ -80,10 +80,10 @@
     from.on("close", () => this.#sockets.delete(from));
   }
 
-  #transfer(release: () => void, holding: readonly LinkMood[]): void {
-    if (holding.includes(this.#mood)) {
-      this.#held.push(release);
-    } else if (this.#mood === "delaying") {
+  #transfer(release: () => void, holding: readonly LinkFaultMode[]): void {
+    if (holding.includes(this.#faultMode)) {
+      this.#blockedTransfers.push(release);
+    } else if (this.#faultMode === "delaying") {
       setTimeout(release, DELAY_MS);
     } else {
       release();
--- a/packages/trials/src/soak/soak_cli.ts
+++ b/packages/trials/src/soak/soak_cli.ts
@@ -11,9 +11,13 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { binary, command, number, oneOf, option, run } from "cmd-ts";
 import { hashToUint32 } from "@lentilspur/gateway/members/stable_hash";
-import { Trial } from "../start/once.ts";
-import { hasHeld, renderReport, renderSummary } from "../start/trial_report.ts";
-import { readMachineMs } from "../traffic/caller.ts";
+import { Trial } from "../start/trial.ts";
+import {
+  hasPassed,
+  renderReport,
+  renderSummary,
+} from "../start/trial_report.ts";
+import { readMonotonicMs } from "../traffic/caller.ts";
 import { ABAY, SAUTIBA } from "../traffic/deployment.ts";
 import { TrafficRandom } from "../traffic/traffic_random.ts";
 import { FaultInjector, SOAK_FAULTS } from "./soak_faults.ts";
@@ -53,7 +57,7 @@
     directory,
     print,
     random: new TrafficRandom(seed),
-    hasLinks: true,
+    hasFaultyLinks: true,
   });
   try {
     await trial.start();
@@ -62,7 +66,7 @@
     const report = await trial.stopAndReport();
     print(renderReport(report));
     print(renderSummary([report]));
-    if (hasHeld([report])) {
+    if (hasPassed([report])) {
       rmSync(directory, { recursive: true });
     } else {
       print(`seed ${seed}: logs and histories are in ${directory}`);
@@ -81,12 +85,12 @@
   const injector = new FaultInjector(trial, createRandom("details", seed));
   // Of their own: how much the callers draw follows from the machine.
   const random = createRandom("faults", seed);
-  const startedAtMs = readMachineMs();
+  const startedAtMs = readMonotonicMs();
   const running: Promise<void>[] = [];
-  while (readMachineMs() - startedAtMs < lengthMs) {
+  while (readMonotonicMs() - startedAtMs < lengthMs) {
     await sleep(random.drawExponential(FAULT_EVERY_MS));
     const fault = SOAK_FAULTS[random.drawIndex(SOAK_FAULTS.length)]!;
-    const atMs = Math.round(readMachineMs() - startedAtMs);
+    const atMs = Math.round(readMonotonicMs() - startedAtMs);
     const inject = async (): Promise<void> => {
       const done = await injector.inject(fault);
       print(`  ${atMs} ms: ${fault}, ${done}`);
--- a/packages/trials/src/soak/soak_faults.ts
+++ b/packages/trials/src/soak/soak_faults.ts
@@ -5,11 +5,14 @@
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { StoreFaultMode } from "@lentilspur/ports/fake_store";
-import type { Trial } from "../start/once.ts";
-import type { InstanceProcess, TargetProcess } from "../start/processes.ts";
-import { readMachineMs } from "../traffic/caller.ts";
+import type { Trial } from "../start/trial.ts";
+import type {
+  InstanceProcess,
+  TargetProcess,
+} from "../start/deployment_processes.ts";
+import { readMonotonicMs } from "../traffic/caller.ts";
 import type { TrafficRandom } from "../traffic/traffic_random.ts";
-import type { LinkMood } from "./faulty_link.ts";
+import type { LinkFaultMode } from "./faulty_link.ts";
 
 export const SOAK_FAULTS = [
   "instance-killed",
@@ -53,7 +56,7 @@
   readonly #trial: Trial;
   readonly #random: TrafficRandom;
   /** What another fault has in hand already. */
-  readonly #taken = new Set<string>();
+  readonly #inUse = new Set<string>();
   #fatalRequests = 0;
 
   constructor(trial: Trial, random: TrafficRandom) {
@@ -129,7 +132,7 @@
         instance.child.send("SIGCONT");
         break;
     }
-    this.#taken.delete(instance.name);
+    this.#inUse.delete(instance.name);
     return instance.name;
   }
 
@@ -137,11 +140,11 @@
   async #killInstances(): Promise<string> {
     const { processes } = this.#trial;
     const lost = processes.instances
-      .filter(({ name }) => !this.#taken.has(name));
-    lost.forEach(({ name }) => this.#taken.add(name));
+      .filter(({ name }) => !this.#inUse.has(name));
+    lost.forEach(({ name }) => this.#inUse.add(name));
     await Promise.all(lost.map((one) => processes.killInstance(one)));
     await Promise.all(lost.map((one) => this.#startAgain(one)));
-    lost.forEach(({ name }) => this.#taken.delete(name));
+    lost.forEach(({ name }) => this.#inUse.delete(name));
     return lost.map(({ name }) => name).join(", ");
   }
 
@@ -153,7 +156,7 @@
   async #failTarget(
     fault: "target-killed" | "target-paused" | "target-leaving",
   ): Promise<string> {
-    const { processes, leaving } = this.#trial;
+    const { processes, leavingTargets: leaving } = this.#trial;
     const target = this.#takeTarget();
     if (target === undefined) {
       return "nothing: no target is at hand";
@@ -176,87 +179,87 @@
           dataCentre: target.dataCentre,
         });
         await processes.drainTarget(target);
-        leaving.push({ target: target.id, atMs: readMachineMs() });
+        leaving.push({ target: target.id, atMs: readMonotonicMs() });
         await sleep(LEAVING_MS);
         await processes.stopTarget(target);
         break;
     }
-    this.#taken.delete(target.id);
+    this.#inUse.delete(target.id);
     return target.id;
   }
 
   async #setLimit(): Promise<string> {
-    const { processes, limits } = this.#trial;
+    const { processes, rateLimits: limits } = this.#trial;
     const target = this.#takeTarget();
     if (target === undefined) {
       return "nothing: no target is at hand";
     }
     const perSecond = this.#draw(LIMITS_PER_SECOND);
-    const fromMs = readMachineMs();
+    const fromMs = readMonotonicMs();
     await processes.setTargetLimit(target, perSecond);
     const sent: Promise<void>[] = [];
-    while (readMachineMs() < fromMs + LIMITED_MS) {
-      sent.push(this.#trial.traffic.sendExtra(target.group.template));
+    while (readMonotonicMs() < fromMs + LIMITED_MS) {
+      sent.push(this.#trial.traffic.sendExtraRequest(target.group.template));
       await sleep(EXTRA_EVERY_MS);
     }
-    const toMs = readMachineMs();
+    const toMs = readMonotonicMs();
     await Promise.all(sent);
     limits.push({ target: target.id, perSecond, fromMs, toMs });
     if (!target.child.hasEnded) {
       await processes.setTargetLimit(target, null);
     }
-    this.#taken.delete(target.id);
+    this.#inUse.delete(target.id);
     await Promise.all(this.#restartCrashed());
     return `${target.id} takes ${perSecond} a second`;
   }
 
   async #sendFatal(): Promise<string> {
-    if (this.#taken.has("fatal")) {
+    if (this.#inUse.has("fatal")) {
       return "nothing: another such request is on its way";
     }
-    this.#taken.add("fatal");
+    this.#inUse.add("fatal");
     const name = String(++this.#fatalRequests);
     const restarts: Promise<void>[] = [];
     for (let nth = 0; nth < FATAL_REPEATS; nth++) {
-      await this.#trial.traffic.sendFatal(name);
+      await this.#trial.traffic.sendFatalRequest(name);
       await sleep(FATAL_PAUSE_MS);
       restarts.push(...this.#restartCrashed());
     }
     await Promise.all(restarts);
-    this.#taken.delete("fatal");
+    this.#inUse.delete("fatal");
     return `${restarts.length} targets crashed`;
   }
 
   #restartCrashed(): readonly Promise<void>[] {
     const { processes } = this.#trial;
     const crashed = processes.targets
-      .filter(({ id, child }) => child.hasEnded && !this.#taken.has(id));
+      .filter(({ id, child }) => child.hasEnded && !this.#inUse.has(id));
     return crashed.map(async (target) => {
-      processes.recordDeath(target);
+      processes.recordTargetExit(target);
       await sleep(this.#draw(RESTARTS_MS));
       await processes.startTarget(target);
     });
   }
 
   async #failStore(mood: StoreFaultMode): Promise<string> {
-    if (this.#taken.has("store")) {
+    if (this.#inUse.has("store")) {
       return "nothing: the store fails already";
     }
-    this.#taken.add("store");
+    this.#inUse.add("store");
     const { processes } = this.#trial;
-    const fromMs = readMachineMs();
-    await processes.setStoreMood(mood);
+    const fromMs = readMonotonicMs();
+    await processes.setStoreFaultMode(mood);
     const lengthMs = this.#draw(OUTAGES_MS);
     await sleep(lengthMs);
-    await processes.setStoreMood("serving");
+    await processes.setStoreFaultMode("serving");
     this.#recordDisturbance(fromMs);
-    this.#taken.delete("store");
+    this.#inUse.delete("store");
     return `${lengthMs} ms`;
   }
 
   async #failLink(
     to: "instance" | "target",
-    mood: LinkMood,
+    mood: LinkFaultMode,
   ): Promise<string> {
     const { processes } = this.#trial;
     const names = to === "instance"
@@ -267,10 +270,10 @@
     if (name === undefined || link === undefined) {
       return "nothing: no link is at hand";
     }
-    const fromMs = readMachineMs();
-    link.setMood(mood);
+    const fromMs = readMonotonicMs();
+    link.setFaultMode(mood);
     await sleep(this.#draw(OUTAGES_MS));
-    link.setMood("passing");
+    link.setFaultMode("passing");
     if (to === "instance") {
       this.#recordDisturbance(fromMs);
     }
@@ -278,7 +281,7 @@
   }
 
   #recordDisturbance(fromMs: number): void {
-    this.#trial.disturbances.push({ fromMs, toMs: readMachineMs() });
+    this.#trial.storeOutages.push({ fromMs, toMs: readMonotonicMs() });
   }
 
   #takeTarget(): TargetProcess | undefined {
@@ -291,10 +294,10 @@
     items: readonly Item[],
     getName: (item: Item) => string,
   ): Item | undefined {
-    const free = items.filter((item) => !this.#taken.has(getName(item)));
+    const free = items.filter((item) => !this.#inUse.has(getName(item)));
     const chosen = free[this.#random.drawIndex(free.length)];
     if (chosen !== undefined) {
-      this.#taken.add(getName(chosen));
+      this.#inUse.add(getName(chosen));
     }
     return chosen;
   }
--- a/packages/trials/src/standins/standin_cli.ts
+++ b/packages/trials/src/standins/standin_cli.ts
@@ -10,7 +10,7 @@
 import { TARGETS_PARTITION } from "@lentilspur/platform/declared_adapter";
 import { StoreServer } from "@lentilspur/platform/standins/store_server";
 import { TargetServer } from "@lentilspur/platform/standins/target_server";
-import { FATAL_MARK } from "../traffic/fatal_request.ts";
+import { FATAL_PARAMETER } from "../traffic/fatal_request.ts";
 import { SystemClock } from "@lentilspur/ports/system_clock";
 import {
   binary,
@@ -90,7 +90,7 @@
       ...options,
       clock,
       keyed: !unkeyed,
-      isFatal: ({ path }) => path?.includes(FATAL_MARK) === true,
+      isFatal: ({ path }) => path?.includes(FATAL_PARAMETER) === true,
       // As a process that crashes: nothing is said, and the entry stays.
       observeCrash: () => process.exit(CRASHED),
       writeEntry: (key, value) =>
--- a/packages/trials/src/start/balancer.ts
+++ b/packages/trials/src/start/balancer.ts
@@ -1,7 +1,7 @@
 /** What the platform's balancer does: it offers only instances that are ready. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
-import type { InstanceProcess } from "./processes.ts";
+import type { InstanceProcess } from "./deployment_processes.ts";
 
 const LOOK_EVERY_MS = 200;
 const TIMEOUT_MS = 500;
@@ -11,7 +11,7 @@
   readonly #watched = new Set<string>();
 
   /** Instances that callers are sent to now, as `host:port`. */
-  listEntries(): readonly string[] {
+  listReadyAddresses(): readonly string[] {
     return [...this.#ready];
   }
 
--- a/packages/trials/src/start/child.ts
+++ b/packages/trials/src/start/child.ts
@@ -6,7 +6,7 @@
 export interface ChildOptions {
   readonly name: string;
   /** A JavaScript file and its arguments. */
-  readonly words: readonly string[];
+  readonly args: readonly string[];
   /** Its output is kept here. */
   readonly logFile: string;
 }
@@ -26,13 +26,13 @@
   /** Resolves with the exit code, or null after a signal. */
   readonly ended: Promise<number | null>;
   readonly #process: ChildProcess;
-  readonly #seen: string[] = [];
-  readonly #waiting = new Set<() => void>();
+  readonly #output: string[] = [];
+  readonly #waiters = new Set<() => void>();
 
   constructor(options: ChildOptions) {
     this.name = options.name;
     this.logFile = options.logFile;
-    const child = spawn(process.execPath, [...options.words], {
+    const child = spawn(process.execPath, [...options.args], {
       stdio: ["ignore", "pipe", "pipe"],
     });
     this.#process = child;
@@ -45,7 +45,7 @@
     this.ended = new Promise((resolve) => {
       child.on("exit", (code) => {
         living.delete(child);
-        this.#sendChange();
+        this.#resumeWaiters();
         resolve(code);
       });
     });
@@ -68,13 +68,13 @@
   async waitForOutput(pattern: RegExp, timeoutMs: number): Promise<string> {
     const endsAt = Date.now() + timeoutMs;
     for (;;) {
-      const match = pattern.exec(this.#seen.join(""));
+      const match = pattern.exec(this.#output.join(""));
       if (match !== null) {
         return match[1] ?? "";
       }
       const leftMs = endsAt - Date.now();
       if (this.hasEnded || leftMs <= 0) {
-        const seen = this.#seen.join("").slice(-500);
+        const seen = this.#output.join("").slice(-500);
         throw new Error(`"${this.name}" did not start: ${seen}`);
       }
       await this.#waitForChange(leftMs);
@@ -96,15 +96,15 @@
 
   /** Only the head of the output is kept; the file has all of it. */
   #addText(bytes: Uint8Array): void {
-    if (this.#seen.length < MAX_SEEN_CHUNKS) {
-      this.#seen.push(bytes.toString());
-      this.#sendChange();
+    if (this.#output.length < MAX_SEEN_CHUNKS) {
+      this.#output.push(bytes.toString());
+      this.#resumeWaiters();
     }
   }
 
-  #sendChange(): void {
-    this.#waiting.forEach((wake) => wake());
-    this.#waiting.clear();
+  #resumeWaiters(): void {
+    this.#waiters.forEach((wake) => wake());
+    this.#waiters.clear();
   }
 
   #waitForChange(timeoutMs: number): Promise<void> {
@@ -114,7 +114,7 @@
         resolve();
       };
       const timer = setTimeout(wake, timeoutMs);
-      this.#waiting.add(wake);
+      this.#waiters.add(wake);
     });
   }
 }
--- a/packages/trials/src/start/processes.ts
+++ b/packages/trials/src/start/deployment_processes.ts
@@ -4,7 +4,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { StoreFaultMode } from "@lentilspur/ports/fake_store";
 import { request } from "undici";
-import { readMachineMs } from "../traffic/caller.ts";
+import { readMonotonicMs } from "../traffic/caller.ts";
 import type { Deployment, TargetGroup } from "../traffic/deployment.ts";
 import { FaultyLink } from "../soak/faulty_link.ts";
 import { Child } from "./child.ts";
@@ -33,32 +33,32 @@
 }
 
 /** When a target's process was killed, in the machine's time. */
-export interface TargetDeath {
+export interface TargetExit {
   readonly target: string;
   readonly atMs: number;
 }
 
-export interface ProcessesOptions {
+export interface DeploymentProcessesOptions {
   readonly deployment: Deployment;
   /** Logs and histories go here. */
   readonly directory: string;
   /** Whether each instance reaches the store, and each target is reached, by a link that can fail. */
-  readonly hasLinks: boolean;
+  readonly hasFaultyLinks: boolean;
 }
 
-export class Processes {
+export class DeploymentProcesses {
   readonly targets: TargetProcess[] = [];
   readonly instances: InstanceProcess[] = [];
-  readonly deaths: TargetDeath[] = [];
+  readonly targetExits: TargetExit[] = [];
   /** By the name of the instance or target at one end. */
   readonly links = new Map<string, FaultyLink>();
-  readonly #options: ProcessesOptions;
+  readonly #options: DeploymentProcessesOptions;
   readonly #platform: Child[] = [];
   #storeAddress = "";
   #startedInstances = 0;
   #startedTargets = 0;
 
-  constructor(options: ProcessesOptions) {
+  constructor(options: DeploymentProcessesOptions) {
     this.#options = options;
     mkdirSync(options.directory, { recursive: true });
   }
@@ -68,13 +68,13 @@
   }
 
   /** Files with the lines of all instances that were ever started. */
-  readonly lineFiles: string[] = [];
+  readonly instanceLogFiles: string[] = [];
 
   get historyFile(): string {
     return join(this.#options.directory, "history.jsonl");
   }
 
-  async startPlatform(): Promise<void> {
+  async startStore(): Promise<void> {
     const child = this.#createChild("store", [STANDIN_FILE, "store"]);
     this.#platform.push(child);
     this.#storeAddress = await waitForListening(child);
@@ -104,12 +104,12 @@
       STANDIN_FILE,
       "target",
       ...["--id", id, "--port", port, "--service", group.template],
-      ...["--data-centre", dataCentre, "--work-ms", String(group.runMs)],
+      ...["--data-centre", dataCentre, "--work-ms", String(group.workMs)],
       ...["--history-file", this.historyFile],
       ...["--store", this.#storeAddress],
     ]);
     const address = await waitForListening(child);
-    if (this.#options.hasLinks) {
+    if (this.#options.hasFaultyLinks) {
       const announced = await this.#openLink(id, address);
       await sendJson(`http://${address}/standin/announce`, { announced });
     }
@@ -147,8 +147,8 @@
       START_TIMEOUT_MS,
     );
     const { logFile } = child;
-    if (!this.lineFiles.includes(logFile)) {
-      this.lineFiles.push(logFile);
+    if (!this.instanceLogFiles.includes(logFile)) {
+      this.instanceLogFiles.push(logFile);
     }
     const instance = { name, address, statusAddress, child, logFile };
     this.instances.push(instance);
@@ -179,7 +179,7 @@
   }
 
   /** How the store treats calls from now on. */
-  async setStoreMood(mood: StoreFaultMode): Promise<void> {
+  async setStoreFaultMode(mood: StoreFaultMode): Promise<void> {
     await sendJson(`http://${this.#storeAddress}/standin/mood`, { mood });
   }
 
@@ -187,12 +187,12 @@
   async killTarget(target: TargetProcess): Promise<void> {
     target.child.send("SIGKILL");
     await target.child.ended;
-    this.recordDeath(target);
+    this.recordTargetExit(target);
   }
 
   /** A target's process has ended by itself. */
-  recordDeath(target: TargetProcess): void {
-    this.deaths.push({ target: target.id, atMs: readMachineMs() });
+  recordTargetExit(target: TargetProcess): void {
+    this.targetExits.push({ target: target.id, atMs: readMonotonicMs() });
     this.targets.splice(this.targets.indexOf(target), 1);
   }
 
@@ -227,7 +227,7 @@
 
   /** The address by which a process is reached; a link's, where there are any. */
   async #openLink(name: string, address: string): Promise<string> {
-    if (!this.#options.hasLinks) {
+    if (!this.#options.hasFaultyLinks) {
       return address;
     }
     const link = new FaultyLink(address);
@@ -237,7 +237,7 @@
 
   #createChild(name: string, words: readonly string[]): Child {
     const logFile = join(this.#options.directory, `${name}.log`);
-    return new Child({ name, words, logFile });
+    return new Child({ name, args: words, logFile });
   }
 }
 
@@ -246,8 +246,8 @@
   check: () => Promise<boolean>,
   timeoutMs: number,
 ): Promise<boolean> {
-  const endsAt = readMachineMs() + timeoutMs;
-  while (readMachineMs() < endsAt) {
+  const endsAt = readMonotonicMs() + timeoutMs;
+  while (readMonotonicMs() < endsAt) {
     if (await check()) {
       return true;
     }
--- a/packages/trials/src/start/start_cli.ts
+++ b/packages/trials/src/start/start_cli.ts
@@ -9,9 +9,9 @@
 import { command, flag, oneOf, option, optional, run } from "cmd-ts";
 import { ABAY, type Deployment, SAUTIBA } from "../traffic/deployment.ts";
 import { TrafficRandom } from "../traffic/traffic_random.ts";
-import { runOnce, Trial, type TrialOptions } from "./once.ts";
+import { runTrial, Trial, type TrialOptions } from "./trial.ts";
 import {
-  hasHeld,
+  hasPassed,
   renderReport,
   renderSummary,
   type TrialReport,
@@ -43,15 +43,15 @@
     reports.push(await runAndTidy(deployment));
   }
   print(renderSummary(reports));
-  process.exitCode = hasHeld(reports) ? 0 : 1;
+  process.exitCode = hasPassed(reports) ? 0 : 1;
 }
 
 /** Logs and histories are kept only where they are needed to find a fault. */
 async function runAndTidy(deployment: Deployment): Promise<TrialReport> {
   const options = makeOptions(deployment);
-  const report = await runOnce(options);
+  const report = await runTrial(options);
   print(renderReport(report));
-  if (hasHeld([report])) {
+  if (hasPassed([report])) {
     rmSync(options.directory, { recursive: true });
   } else {
     print(`  logs and histories are in ${options.directory}`);
@@ -69,7 +69,7 @@
   });
   try {
     await trial.start();
-    const [entry] = trial.balancer.listEntries();
+    const [entry] = trial.balancer.listReadyAddresses();
     const [account] = ABAY.accounts;
     print(`Some callers send already. Send a request yourself:
 
--- a/packages/trials/src/start/once.ts
+++ b/packages/trials/src/start/trial.ts
@@ -7,14 +7,18 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Random } from "@lentilspur/ports/clock";
 import { request } from "undici";
-import { readMachineMs } from "../traffic/caller.ts";
+import { readMonotonicMs } from "../traffic/caller.ts";
 import type { CallerRecord } from "../traffic/caller_record.ts";
 import type { Deployment } from "../traffic/deployment.ts";
-import type { Disturbance, LeavingTarget } from "../traffic/judge.ts";
-import type { LimitSpan } from "../traffic/target_limit.ts";
-import { Traffic } from "../traffic/traffic.ts";
+import type { LeavingTarget, StoreOutage } from "../traffic/violations.ts";
+import type { RateLimitPeriod } from "../traffic/target_limit.ts";
+import { TrafficGenerator } from "../traffic/traffic_generator.ts";
 import { Balancer } from "./balancer.ts";
-import { type InstanceProcess, Processes, waitUntil } from "./processes.ts";
+import {
+  DeploymentProcesses,
+  type InstanceProcess,
+  waitUntil,
+} from "./deployment_processes.ts";
 import { buildReport, type TrialReport } from "./trial_report.ts";
 
 export interface TrialOptions {
@@ -23,7 +27,7 @@
   readonly print: (line: string) => void;
   readonly random: Random;
   /** Whether faults can be put between the processes. */
-  readonly hasLinks?: boolean;
+  readonly hasFaultyLinks?: boolean;
 }
 
 /** Everything must be served this soon after a cold start. */
@@ -38,33 +42,38 @@
 
 /** One running deployment with its callers. */
 export class Trial {
-  readonly processes: Processes;
+  readonly processes: DeploymentProcesses;
   readonly balancer = new Balancer();
-  readonly traffic: Traffic;
-  readonly leaving: LeavingTarget[] = [];
+  readonly traffic: TrafficGenerator;
+  readonly leavingTargets: LeavingTarget[] = [];
   /** Times in which the store, or the way to it, was made to fail. */
-  readonly disturbances: Disturbance[] = [];
-  readonly limits: LimitSpan[] = [];
-  readonly faults: string[] = [];
+  readonly storeOutages: StoreOutage[] = [];
+  readonly rateLimits: RateLimitPeriod[] = [];
+  readonly failedChecks: string[] = [];
   readonly #options: TrialOptions;
   readonly #end = new AbortController();
 
   constructor(options: TrialOptions) {
     this.#options = options;
-    const { deployment, directory, random, hasLinks = false } = options;
-    this.processes = new Processes({ deployment, directory, hasLinks });
-    this.traffic = new Traffic({
+    const { deployment, directory, random, hasFaultyLinks: hasLinks = false } =
+      options;
+    this.processes = new DeploymentProcesses({
+      deployment,
+      directory,
+      hasFaultyLinks: hasLinks,
+    });
+    this.traffic = new TrafficGenerator({
       deployment,
       random,
-      listEntries: () => this.balancer.listEntries(),
+      listReadyAddresses: () => this.balancer.listReadyAddresses(),
     });
   }
 
   /** Starts all processes, publishes, and waits until every key is served. */
   async start(): Promise<void> {
     const { deployment, print } = this.#options;
-    const startedAt = readMachineMs();
-    await this.processes.startPlatform();
+    const startedAt = readMonotonicMs();
+    await this.processes.startStore();
     await Promise.all([
       this.processes.startTargets(),
       this.processes.startInstances(),
@@ -72,14 +81,14 @@
     void this.balancer.run(() => this.processes.instances, this.#end.signal);
     await this.#publish();
     const isServed = await waitUntil(
-      () => this.traffic.checkServed(),
+      () => this.traffic.checkAllKeysServed(),
       START_LIMIT_MS,
     );
     if (!isServed) {
-      this.faults.push("not every key was served after the start");
+      this.failedChecks.push("not every key was served after the start");
     }
     this.traffic.records.length = 0;
-    const tookMs = Math.round(readMachineMs() - startedAt);
+    const tookMs = Math.round(readMonotonicMs() - startedAt);
     print(`${deployment.name}: every key is served after ${tookMs} ms`);
     this.traffic.start();
   }
@@ -93,12 +102,12 @@
       deployment: this.#options.deployment.name,
       records: this.traffic.records,
       historyFile: this.processes.historyFile,
-      leaving: this.leaving,
-      disturbances: this.disturbances,
-      limits: this.limits,
-      deaths: this.processes.deaths,
-      lineFiles: this.processes.lineFiles,
-      faults: this.faults,
+      leavingTargets: this.leavingTargets,
+      storeOutages: this.storeOutages,
+      rateLimits: this.rateLimits,
+      targetExits: this.processes.targetExits,
+      instanceLogFiles: this.processes.instanceLogFiles,
+      failedChecks: this.failedChecks,
     });
     await this.close();
     return report;
@@ -114,7 +123,7 @@
     const target = this.processes.targets[0]!;
     this.#options.print(`  target ${target.id} leaves`);
     await this.processes.drainTarget(target);
-    this.leaving.push({ target: target.id, atMs: readMachineMs() });
+    this.leavingTargets.push({ target: target.id, atMs: readMonotonicMs() });
     await sleep(LEAVING_MS);
     await this.processes.stopTarget(target);
   }
@@ -142,17 +151,17 @@
     instance: InstanceProcess,
     isFailed: (record: CallerRecord) => boolean,
   ): Promise<void> {
-    const since = readMachineMs();
+    const since = readMonotonicMs();
     const code = await this.processes.stopInstance(instance);
     if (code !== 0) {
-      this.faults.push(`${instance.name} ended with "${code}"`);
+      this.failedChecks.push(`${instance.name} ended with "${code}"`);
     }
     await sleep(SETTLE_MS);
     const failed = this.traffic.records.filter((record) =>
       record.receivedAtMs >= since && isFailed(record)
     );
     for (const { requestId, entry, outcome, errorKind } of failed) {
-      this.faults.push(
+      this.failedChecks.push(
         `"${requestId ?? "no id"}" through ${entry} ended as ${outcome} ` +
           `(${errorKind ?? "cut off"}) in the stop of ${instance.name}`,
       );
@@ -161,8 +170,10 @@
 
   /** Once nothing is broken any more, every key is served again. */
   async checkRecovery(limitMs: number): Promise<void> {
-    if (!await waitUntil(() => this.traffic.checkServed(), limitMs)) {
-      this.faults.push("not every key was served again after the last fault");
+    if (!await waitUntil(() => this.traffic.checkAllKeysServed(), limitMs)) {
+      this.failedChecks.push(
+        "not every key was served again after the last fault",
+      );
     }
   }
 
@@ -181,7 +192,7 @@
       ...["--wait-in-force", IN_FORCE_LIMIT],
     ]);
     if (code !== 0) {
-      this.faults.push(`publishing ended with "${code}"`);
+      this.failedChecks.push(`publishing ended with "${code}"`);
     }
   }
 
@@ -190,14 +201,16 @@
     for (const instance of this.processes.instances) {
       const version = await readVersion(instance);
       if (version !== 1) {
-        this.faults.push(`${instance.name} has version "${version}" in force`);
+        this.failedChecks.push(
+          `${instance.name} has version "${version}" in force`,
+        );
       }
     }
   }
 }
 
 /** Runs the whole of it; takes well under a minute. */
-export async function runOnce(options: TrialOptions): Promise<TrialReport> {
+export async function runTrial(options: TrialOptions): Promise<TrialReport> {
   const trial = new Trial(options);
   try {
     await trial.start();
--- a/packages/trials/src/start/trial_report.ts
+++ b/packages/trials/src/start/trial_report.ts
@@ -6,14 +6,14 @@
 import type { CallerRecord } from "../traffic/caller_record.ts";
 import {
   computeUnservedMsMax,
-  type Disturbance,
   type LeavingTarget,
   listViolations,
+  type StoreOutage,
   type Violation,
-} from "../traffic/judge.ts";
-import { splitBy } from "../traffic/split_by.ts";
-import type { LimitSpan } from "../traffic/target_limit.ts";
-import type { TargetDeath } from "./processes.ts";
+} from "../traffic/violations.ts";
+import { groupBy } from "../traffic/group_by.ts";
+import type { RateLimitPeriod } from "../traffic/target_limit.ts";
+import type { TargetExit } from "./deployment_processes.ts";
 
 export interface TrialReport {
   readonly deployment: string;
@@ -31,26 +31,32 @@
   readonly audit: AuditReport;
   readonly violations: readonly Violation[];
   /** What else had to hold and did not. */
-  readonly faults: readonly string[];
+  readonly failedChecks: readonly string[];
 }
 
-export interface TrialFacts {
+export interface TrialResults {
   readonly deployment: string;
   readonly records: readonly CallerRecord[];
   readonly historyFile: string;
-  readonly leaving: readonly LeavingTarget[];
-  readonly disturbances: readonly Disturbance[];
-  readonly limits: readonly LimitSpan[];
-  readonly deaths: readonly TargetDeath[];
-  readonly lineFiles: readonly string[];
-  readonly faults: readonly string[];
+  readonly leavingTargets: readonly LeavingTarget[];
+  readonly storeOutages: readonly StoreOutage[];
+  readonly rateLimits: readonly RateLimitPeriod[];
+  readonly targetExits: readonly TargetExit[];
+  readonly instanceLogFiles: readonly string[];
+  readonly failedChecks: readonly string[];
 }
 
-export function buildReport(facts: TrialFacts): TrialReport {
-  const { records, leaving, disturbances, limits, lineFiles } = facts;
-  const runs = loadRuns(facts.historyFile, facts.deaths);
+export function buildReport(facts: TrialResults): TrialReport {
+  const {
+    records,
+    leavingTargets: leaving,
+    storeOutages: disturbances,
+    rateLimits: limits,
+    instanceLogFiles: lineFiles,
+  } = facts;
+  const runs = loadRuns(facts.historyFile, facts.targetExits);
   const read = parseLines(lineFiles.map((file) => readFileSync(file, "utf8")));
-  const requests = splitBy(records, ({ wantedId }) => wantedId);
+  const requests = groupBy(records, ({ wantedId }) => wantedId);
   const last = [...requests.values()].map((sends) => sends.at(-1)!.outcome);
   const count = (...outcomes: readonly CallerRecord["outcome"][]): number =>
     last.filter((outcome) => outcomes.includes(outcome)).length;
@@ -68,10 +74,10 @@
       records,
       runs,
       leaving,
-      disturbances,
-      limits,
+      storeOutages: disturbances,
+      rateLimits: limits,
     }),
-    faults: facts.faults,
+    failedChecks: facts.failedChecks,
   };
 }
 
@@ -83,7 +89,7 @@
 /** The last line of each run counts; one without an end ended with its target. */
 function loadRuns(
   file: string,
-  deaths: readonly TargetDeath[],
+  deaths: readonly TargetExit[],
 ): readonly TargetRun[] {
   const text = existsSync(file) ? readFileSync(file, "utf8") : "";
   const runs = new Map<string, TargetRun>();
@@ -100,7 +106,7 @@
 }
 
 export function renderReport(report: TrialReport): string {
-  const { violations, faults, audit } = report;
+  const { violations, failedChecks: faults, audit } = report;
   const lines = [
     `${report.deployment}: ${report.requests} requests in ${report.sends} attempts: ` +
     `${report.ran} ran, ${report.notRun} not run, ${report.unknown} unknown`,
@@ -124,7 +130,7 @@
   const add = (pick: (report: TrialReport) => number): number =>
     reports.reduce((sum, report) => sum + pick(report), 0);
   return JSON.stringify({
-    promisesHeld: hasHeld(reports),
+    promisesHeld: hasPassed(reports),
     requests: add((report) => report.requests),
     ran: add((report) => report.ran),
     notRun: add((report) => report.notRun),
@@ -133,14 +139,14 @@
     unservedMsMax: Math.max(...reports.map((each) => each.unservedMsMax)),
     violations: add((report) => report.violations.length),
     auditFindings: add((report) => report.audit.findings.length),
-    faults: reports.flatMap((report) => report.faults),
+    faults: reports.flatMap((report) => report.failedChecks),
     deployments: reports.map((report) => report.deployment),
   });
 }
 
-export function hasHeld(reports: readonly TrialReport[]): boolean {
+export function hasPassed(reports: readonly TrialReport[]): boolean {
   return reports.every((report) =>
-    report.violations.length === 0 && report.faults.length === 0 &&
+    report.violations.length === 0 && report.failedChecks.length === 0 &&
     report.audit.findings.length === 0 &&
     report.requests > 0
   );
--- a/packages/trials/src/traffic/caller.ts
+++ b/packages/trials/src/traffic/caller.ts
@@ -11,7 +11,7 @@
 import type { CallerOutcome, CallerRecord } from "./caller_record.ts";
 
 /** A request to make, whichever instance takes it. */
-export interface WantedRequest {
+export interface LogicalRequest {
   readonly template: string;
   readonly key: string;
   readonly method: string;
@@ -25,7 +25,7 @@
   readonly clock: Clock;
   readonly random: Random;
   /** Instances that the balancer would choose from now, as `host:port`. */
-  readonly listEntries: () => readonly string[];
+  readonly listReadyAddresses: () => readonly string[];
   readonly record: (record: CallerRecord) => void;
 }
 
@@ -52,12 +52,12 @@
   }
 
   /** Tries until it ran or another attempt could do harm; gives the last one. */
-  async send(wanted: WantedRequest): Promise<CallerRecord> {
+  async send(wanted: LogicalRequest): Promise<CallerRecord> {
     const wantedId = randomUUID();
     for (let count = 1;; count++) {
       const record = await this.sendOnce(wanted, wantedId);
       this.#options.record(record);
-      if (count === MAX_ATTEMPTS || !mayTryAgain(record)) {
+      if (count === MAX_ATTEMPTS || !mayRetry(record)) {
         return record;
       }
       await this.#options.clock.sleep(PAUSE_MS);
@@ -70,20 +70,20 @@
 
   /** Sends once and lets nobody know what came of it but whoever asks. */
   async sendOnce(
-    wanted: WantedRequest,
+    wanted: LogicalRequest,
     wantedId: string = randomUUID(),
   ): Promise<CallerRecord> {
     const entry = this.#chooseEntry();
-    const sentAtMs = readMachineMs();
+    const sentAtMs = readMonotonicMs();
     const { template, key, idempotent } = wanted;
     const { clientAccount } = this.#options;
     const subject = { clientAccount, template, key, idempotent, wantedId };
     const answer = await this.#fetch(wanted, entry);
-    const receivedAtMs = readMachineMs();
+    const receivedAtMs = readMonotonicMs();
     return { ...subject, entry, ...answer, sentAtMs, receivedAtMs };
   }
 
-  async #fetch(wanted: WantedRequest, entry: string): Promise<AnswerFacts> {
+  async #fetch(wanted: LogicalRequest, entry: string): Promise<ResponseFields> {
     try {
       const answer = await request(`http://${entry}${wanted.path}`, {
         method: wanted.method,
@@ -93,7 +93,7 @@
       });
       const body = new Uint8Array(await answer.body.arrayBuffer());
       const { headers, statusCode: status } = answer;
-      return describeAnswer(wanted, {
+      return describeResponse(wanted, {
         status,
         outcome: String(headers["lentilspur-outcome"]),
         requestId: String(headers["lentilspur-request-id"]),
@@ -106,27 +106,27 @@
   }
 
   #chooseEntry(): string {
-    const entries = this.#options.listEntries();
+    const entries = this.#options.listReadyAddresses();
     const index = Math.floor(this.#options.random.draw() * entries.length);
     return entries[index] ?? "127.0.0.1:1";
   }
 }
 
 /** Milliseconds on the clock that all processes of this machine share. */
-export function readMachineMs(): number {
+export function readMonotonicMs(): number {
   return Number(process.hrtime.bigint()) / 1e6;
 }
 
-type AnswerFacts = Pick<CallerRecord, "outcome"> & Partial<CallerRecord>;
+type ResponseFields = Pick<CallerRecord, "outcome"> & Partial<CallerRecord>;
 
-interface ReceivedAnswer {
+interface ReceivedResponse {
   readonly status: number;
   readonly outcome: string;
   readonly requestId: string;
   readonly body: Uint8Array;
 }
 
-function mayTryAgain(
+function mayRetry(
   { outcome, idempotent, mayResend }: CallerRecord,
 ): boolean {
   switch (outcome) {
@@ -140,10 +140,10 @@
   }
 }
 
-function describeAnswer(
-  wanted: WantedRequest,
-  received: ReceivedAnswer,
-): AnswerFacts {
+function describeResponse(
+  wanted: LogicalRequest,
+  received: ReceivedResponse,
+): ResponseFields {
   const { status, requestId } = received;
   const outcome = OUTCOMES.find((one) => one === received.outcome) ?? "none";
   const body = parseJson(received.body);
--- a/packages/trials/src/traffic/deployment.ts
+++ b/packages/trials/src/traffic/deployment.ts
@@ -3,11 +3,11 @@
 export interface TargetGroup {
   readonly template: string;
   readonly count: number;
-  readonly runMs: number;
+  readonly workMs: number;
 }
 
 /** A kind of request that callers make. */
-export interface RequestShape {
+export interface RequestKind {
   readonly template: string;
   readonly method: "GET" | "POST";
   /** `{key}` stands for the key. */
@@ -16,7 +16,7 @@
   readonly share: number;
 }
 
-export interface AccountShape {
+export interface CallerAccount {
   readonly name: string;
   readonly credential: string;
   readonly callers: number;
@@ -27,8 +27,8 @@
   readonly dataCentres: readonly string[];
   readonly instances: number;
   readonly targets: readonly TargetGroup[];
-  readonly requests: readonly RequestShape[];
-  readonly accounts: readonly AccountShape[];
+  readonly requests: readonly RequestKind[];
+  readonly accounts: readonly CallerAccount[];
   /** Every fourth request or so is for this one. */
   readonly hotKey: string;
   readonly keyPrefix: string;
@@ -39,9 +39,9 @@
   dataCentres: ["bole", "kirkos", "yeka"],
   instances: 4,
   targets: [
-    { template: "case-files", count: 3, runMs: 2 },
-    { template: "demands", count: 2, runMs: 3 },
-    { template: "ledger", count: 2, runMs: 3 },
+    { template: "case-files", count: 3, workMs: 2 },
+    { template: "demands", count: 2, workMs: 3 },
+    { template: "ledger", count: 2, workMs: 3 },
   ],
   requests: [
     {
@@ -84,9 +84,9 @@
   dataCentres: ["kariakoo", "msasani", "sinza", "upanga"],
   instances: 4,
   targets: [
-    { template: "calendars", count: 3, runMs: 2 },
-    { template: "reservations", count: 2, runMs: 3 },
-    { template: "payments", count: 2, runMs: 3 },
+    { template: "calendars", count: 3, workMs: 2 },
+    { template: "reservations", count: 2, workMs: 3 },
+    { template: "payments", count: 2, workMs: 3 },
   ],
   requests: [
     {
--- a/packages/trials/src/traffic/split_by.ts
+++ b/packages/trials/src/traffic/group_by.ts
@@ -1,5 +1,5 @@
 /** Splits `items` by name, in their order; names in order of first sight. */
-export function splitBy<T>(
+export function groupBy<T>(
   items: readonly T[],
   getName: (item: T) => string,
 ): ReadonlyMap<string, readonly T[]> {
--- a/packages/trials/src/traffic/target_limit.ts
+++ b/packages/trials/src/traffic/target_limit.ts
@@ -3,7 +3,7 @@
 import { countMaxInWindow } from "@lentilspur/ports/window_count";
 
 /** A time in which a target named a limit; machine time. */
-export interface LimitSpan {
+export interface RateLimitPeriod {
   readonly target: string;
   readonly perSecond: number;
   readonly fromMs: number;
@@ -18,10 +18,10 @@
 const MAX_EXTRA = 5;
 
 /** Spans in which some window got too much, each with the most. */
-export function listExceeded(
+export function listExceededLimits(
   runs: readonly TargetRun[],
-  spans: readonly LimitSpan[],
-): readonly { readonly span: LimitSpan; readonly most: number }[] {
+  spans: readonly RateLimitPeriod[],
+): readonly { readonly span: RateLimitPeriod; readonly most: number }[] {
   return spans
     .map((span) => ({ span, most: countMost(runs, span) }))
     .filter(({ span, most }) =>
@@ -31,7 +31,7 @@
 
 function countMost(
   runs: readonly TargetRun[],
-  { target, fromMs, toMs }: LimitSpan,
+  { target, fromMs, toMs }: RateLimitPeriod,
 ): number {
   const times = runs
     .filter((run) => run.target === target)
--- a/packages/trials/src/traffic/traffic.ts
+++ b/packages/trials/src/traffic/traffic_generator.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Random } from "@lentilspur/ports/clock";
 import { SystemClock } from "@lentilspur/ports/system_clock";
-import { Caller, type WantedRequest } from "./caller.ts";
+import { Caller, type LogicalRequest } from "./caller.ts";
 import type { CallerRecord } from "./caller_record.ts";
 import type { Deployment } from "./deployment.ts";
 import { markFatal } from "./fatal_request.ts";
@@ -12,22 +12,22 @@
 /** Mean pause of a caller between two requests. */
 const PAUSE_MS = 30;
 
-export interface TrafficOptions {
+export interface TrafficGeneratorOptions {
   readonly deployment: Deployment;
   readonly random: Random;
-  readonly listEntries: () => readonly string[];
+  readonly listReadyAddresses: () => readonly string[];
 }
 
-export class Traffic {
+export class TrafficGenerator {
   readonly records: CallerRecord[] = [];
-  readonly #options: TrafficOptions;
+  readonly #options: TrafficGeneratorOptions;
   readonly #stop = new AbortController();
   readonly #callers: readonly Caller[];
   #running: readonly Promise<void>[] = [];
 
-  constructor(options: TrafficOptions) {
+  constructor(options: TrafficGeneratorOptions) {
     this.#options = options;
-    const { deployment, random, listEntries } = options;
+    const { deployment, random, listReadyAddresses: listEntries } = options;
     this.#callers = deployment.accounts.flatMap((account) =>
       Array.from({ length: account.callers }, () =>
         new Caller({
@@ -35,7 +35,7 @@
           credential: account.credential,
           clock: new SystemClock(),
           random,
-          listEntries,
+          listReadyAddresses: listEntries,
           record: (record) => this.records.push(record),
         }))
     );
@@ -53,7 +53,7 @@
   }
 
   /** Sends one request of a kind, beside what the callers send. */
-  async sendExtra(template: string): Promise<void> {
+  async sendExtraRequest(template: string): Promise<void> {
     const { deployment, random } = this.#options;
     const shape = deployment.requests
       .find((one) => one.template === template)!;
@@ -64,7 +64,7 @@
   }
 
   /** Sends a fatal request as one of the callers; `name` tells it from others. */
-  async sendFatal(name: string): Promise<void> {
+  async sendFatalRequest(name: string): Promise<void> {
     const shape = this.#options.deployment.requests[0]!;
     const wanted = makeRequest(shape, this.#makeKey(0));
     this.records
@@ -72,7 +72,7 @@
   }
 
   /** Sends one request of each kind; true if all were answered. */
-  async checkServed(): Promise<boolean> {
+  async checkAllKeysServed(): Promise<boolean> {
     const [caller] = this.#callers;
     const records = await Promise.all(
       this.#options.deployment.requests.flatMap((shape) =>
@@ -93,7 +93,7 @@
     }
   }
 
-  #drawRequest(): WantedRequest {
+  #drawRequest(): LogicalRequest {
     const { deployment, random } = this.#options;
     let left = random.draw();
     const shape = deployment.requests.find((each) => {
@@ -114,7 +114,7 @@
 function makeRequest(
   shape: Deployment["requests"][number],
   key: string,
-): WantedRequest {
+): LogicalRequest {
   return {
     template: shape.template,
     key,
--- a/packages/trials/src/traffic/traffic_random.ts
+++ b/packages/trials/src/traffic/traffic_random.ts
@@ -11,7 +11,7 @@
    * A service time: half of the mean is fixed, the rest exponential. Real
    * ones have a floor and a tail as well; their deviation is half the mean.
    */
-  drawService(mean: number): number {
+  drawServiceTime(mean: number): number {
     return mean / 2 + this.drawExponential(mean / 2);
   }
 }
--- a/packages/trials/src/traffic/judge.ts
+++ b/packages/trials/src/traffic/violations.ts
@@ -4,9 +4,9 @@
  */
 import type { TargetRun } from "@lentilspur/ports/fake_target";
 import type { CallerRecord } from "./caller_record.ts";
-import { listUnstoppedRequests } from "./fatal_request.ts";
-import { splitBy } from "./split_by.ts";
-import { type LimitSpan, listExceeded } from "./target_limit.ts";
+import { listUnquarantinedRequests } from "./fatal_request.ts";
+import { groupBy } from "./group_by.ts";
+import { listExceededLimits, type RateLimitPeriod } from "./target_limit.ts";
 
 export interface Violation {
   readonly promise:
@@ -27,39 +27,41 @@
 }
 
 /** A time in which instances could not learn what the store knew. */
-export interface Disturbance {
+export interface StoreOutage {
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-export interface TrialEvidence {
+export interface TrialObservations {
   readonly records: readonly CallerRecord[];
   readonly runs: readonly TargetRun[];
   readonly leaving: readonly LeavingTarget[];
   /** Of the store, or of the way to it. */
-  readonly disturbances?: readonly Disturbance[];
-  readonly limits?: readonly LimitSpan[];
+  readonly storeOutages?: readonly StoreOutage[];
+  readonly rateLimits?: readonly RateLimitPeriod[];
 }
 
 /** "After a few seconds": the reading of entries and a planner's round included. */
 const MAX_LEAVING_MS = 5_000;
 
-export function listViolations(evidence: TrialEvidence): readonly Violation[] {
+export function listViolations(
+  evidence: TrialObservations,
+): readonly Violation[] {
   // A target whose hold had run out abandoned these before their effect.
   const runs = evidence.runs.filter((run) => run.ending !== "lapsed");
-  const runsOf = splitBy(runs, ({ requestId }) => requestId);
+  const runsOf = groupBy(runs, ({ requestId }) => requestId);
   return [
     ...checkAtMostOnce(evidence.records, runsOf),
     ...checkNotRun(evidence.records, runsOf),
     // Their answers are the target's all the same: they say that it failed.
     ...checkAnswers(
       evidence.records,
-      splitBy(evidence.runs, ({ requestId }) => requestId),
+      groupBy(evidence.runs, ({ requestId }) => requestId),
     ),
     ...checkSoleOwner(runs),
-    ...checkLeaving(runs, evidence.leaving, evidence.disturbances ?? []),
+    ...checkLeaving(runs, evidence.leaving, evidence.storeOutages ?? []),
     ...checkFatal(runs),
-    ...checkLimits(evidence.runs, evidence.limits ?? []),
+    ...checkLimits(evidence.runs, evidence.rateLimits ?? []),
   ];
 }
 
@@ -75,7 +77,7 @@
   runsOf: RunsOf,
 ): readonly Violation[] {
   const once = records.filter((record) => !record.idempotent);
-  return [...splitBy(once, ({ wantedId }) => wantedId)]
+  return [...groupBy(once, ({ wantedId }) => wantedId)]
     .flatMap(([wantedId, attempts]) => {
       const runs = attempts.flatMap((attempt) => listRuns(attempt, runsOf));
       return runs.length <= 1 ? [] : [{
@@ -122,7 +124,7 @@
 
 /** Two targets never run requests of one key at the same time. */
 function checkSoleOwner(runs: readonly TargetRun[]): readonly Violation[] {
-  const ofKey = splitBy(runs, (run) => `${run.service} ${run.key}`);
+  const ofKey = groupBy(runs, (run) => `${run.service} ${run.key}`);
   const violations: Violation[] = [];
   for (const [key, ownRuns] of ofKey) {
     const sorted = ownRuns.toSorted((a, b) => a.startedAtMs - b.startedAtMs);
@@ -151,7 +153,7 @@
 function checkLeaving(
   runs: readonly TargetRun[],
   leaving: readonly LeavingTarget[],
-  disturbances: readonly Disturbance[],
+  disturbances: readonly StoreOutage[],
 ): readonly Violation[] {
   const isExcused = (atMs: number, startedAtMs: number): boolean =>
     disturbances.some(({ fromMs, toMs }) =>
@@ -173,7 +175,7 @@
 }
 
 function checkFatal(runs: readonly TargetRun[]): readonly Violation[] {
-  return listUnstoppedRequests(runs).map(({ path, sends }) => ({
+  return listUnquarantinedRequests(runs).map(({ path, sends }) => ({
     promise: "fatal-request",
     message: `"${path}" was sent on ${sends} times after three crashes`,
   }));
@@ -181,9 +183,9 @@
 
 function checkLimits(
   runs: readonly TargetRun[],
-  limits: readonly LimitSpan[],
+  limits: readonly RateLimitPeriod[],
 ): readonly Violation[] {
-  return listExceeded(runs, limits).map(({ span, most }) => ({
+  return listExceededLimits(runs, limits).map(({ span, most }) => ({
     promise: "target-limit",
     message:
       `${span.target} got ${most} requests in 4 s and takes ${span.perSecond} a second`,
@@ -198,7 +200,7 @@
   records: readonly CallerRecord[],
 ): number {
   let longest = 0;
-  const ofKey = splitBy(records, (r) => `${r.template} ${r.key}`);
+  const ofKey = groupBy(records, (r) => `${r.template} ${r.key}`);
   for (const sends of ofKey.values()) {
     let unservedSince: number | undefined;
     const sorted = sends.toSorted((a, b) => a.sentAtMs - b.sentAtMs);
--- a/packages/trials/src/traffic/judge_test.ts
+++ b/packages/trials/src/traffic/violations_test.ts
@@ -5,8 +5,8 @@
 import {
   computeUnservedMsMax,
   listViolations,
-  type TrialEvidence,
-} from "./judge.ts";
+  type TrialObservations,
+} from "./violations.ts";
 
 function makeRun(changes: Partial<TargetRun> = {}): TargetRun {
   return {
@@ -43,9 +43,11 @@
   };
 }
 
-function listBroken(evidence: Partial<TrialEvidence>): readonly string[] {
+function listBroken(
+  observations: Partial<TrialObservations>,
+): readonly string[] {
   const whole = { records: [makeRecord()], runs: [makeRun()], leaving: [] };
-  return listViolations({ ...whole, ...evidence })
+  return listViolations({ ...whole, ...observations })
     .map((violation) => violation.promise);
 }
 
@@ -129,7 +131,7 @@
   // that it leaves. The entry stood in the store only after the outage.
   const leaving = [{ target: "t1", atMs: -6_000 }];
   const list = (fromMs: number, toMs: number) =>
-    listBroken({ leaving, disturbances: [{ fromMs, toMs }] });
+    listBroken({ leaving, storeOutages: [{ fromMs, toMs }] });
   assert.deepEqual(list(-6_500, -500), []);
   assert.deepEqual(list(-30_000, -7_000), ["leaving-target"]);
   assert.deepEqual(list(500, 5_000), ["leaving-target"]);
@@ -172,8 +174,14 @@
   const times = Array.from({ length: 60 }, (_, index) => index * 250);
   const many = makeRuns(times);
   const few = makeRuns(times.filter((_, index) => index % 2 === 0));
-  assert.deepEqual(listBroken({ records: [], runs: many, limits: [span] }), [
-    "target-limit",
-  ]);
-  assert.deepEqual(listBroken({ records: [], runs: few, limits: [span] }), []);
+  assert.deepEqual(
+    listBroken({ records: [], runs: many, rateLimits: [span] }),
+    [
+      "target-limit",
+    ],
+  );
+  assert.deepEqual(
+    listBroken({ records: [], runs: few, rateLimits: [span] }),
+    [],
+  );
 });
