--- a/packages/transport/src/connection_pool.ts
+++ b/packages/transport/src/connection_pool.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to one address. One that has been idle for long is not used: it
- * may have gone silent while nobody looked.
+ * Pools the connections to one address. A connection that has been idle for too
+ * long is not reused, since its path to the peer may have failed unnoticed.
  */
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import type { Clock } from "@lentilspur/ports/clock";
@@ -17,11 +17,11 @@
 
 export interface PoolOptions {
   readonly clock: Clock;
-  /** Connections open or being opened at one time. */
+  /** Limit of connections that are open or being opened at the same time. */
   readonly maxConnections: number;
   /** Longest wait for a connection to open. */
   readonly connectTimeoutMs: number;
-  /** An idle connection that has given no answer for this long is not used. */
+  /** An idle connection whose last response is older than this is not reused. */
   readonly maxIdleMs: number;
 }
 
@@ -33,7 +33,7 @@
   readonly #address: string;
   readonly #options: PoolOptions;
   readonly #idle: HttpConnection[] = [];
-  /** Open or being opened. */
+  /** Connections that are open or being opened. */
   #connections = 0;
   #established = 0;
   #lastResponseAtMs = -Infinity;
@@ -46,19 +46,21 @@
   }
 
   /**
-   * Whether one and the same process has stood behind the address ever since
-   * the first connection: at each moment some connection was open, none ended
-   * unannounced, and none fell silent unless another was heard meanwhile.
+   * Whether the same process must have been at the address since the first
+   * connection. This holds if some connection was open at each moment, no
+   * connection ended without notice, and after the start of each request that
+   * timed out or was cancelled a response arrived on another connection.
    */
   get isSameProcess(): boolean {
-    return !this.#mayHaveRestarted && this.#idle.every((one) => one.isOpen);
+    return !this.#mayHaveRestarted &&
+      this.#idle.every((connection) => connection.isOpen);
   }
 
-  /** Sends on an idle connection or on a fresh one. Sends nothing twice. */
+  /** Sends a request on an idle connection or on a new one, and never twice. */
   async send(request: HttpRequest): Promise<Result<HttpResponse, PoolFailure>> {
-    const taken = this.#takeIdle();
-    if (taken !== undefined) {
-      return await this.#sendOn(taken, request);
+    const idle = this.#takeIdle();
+    if (idle !== undefined) {
+      return await this.#sendOn(idle, request);
     }
     const opened = await this.#open();
     return opened.ok
@@ -66,7 +68,7 @@
       : Err({ stage: "opening", ...opened.val });
   }
 
-  /** Ends idle connections; those in use end after their request. */
+  /** Closes idle connections; connections in use close after their request. */
   close(): void {
     this.#closed = true;
     for (const connection of this.#idle.splice(0)) {
@@ -81,8 +83,9 @@
     const sentAtMs = this.#options.clock.readMs();
     const sent = await connection.send(request);
     if (!sent.ok) {
-      const isGivenUp = sent.val.cause !== "reset" && sent.val.cause !== "cut";
-      this.#mayHaveRestarted ||= !isGivenUp ||
+      const isAbandoned = sent.val.cause !== "reset" &&
+        sent.val.cause !== "cut";
+      this.#mayHaveRestarted ||= !isAbandoned ||
         this.#lastResponseAtMs < sentAtMs;
       this.#remove(connection);
       return Err({ stage: "sending", ...sent.val });
@@ -115,15 +118,15 @@
     return opened;
   }
 
-  /** The one used last, since the peer is the least likely to have closed it. */
+  /** Takes the last used connection, which the peer is least likely to have closed. */
   #takeIdle(): HttpConnection | undefined {
-    const oldest = this.#options.clock.readMs() - this.#options.maxIdleMs;
+    const oldestAtMs = this.#options.clock.readMs() - this.#options.maxIdleMs;
     for (;;) {
       const connection = this.#idle.pop();
       if (connection === undefined) {
         return undefined;
       }
-      if (connection.isOpen && connection.lastResponseAtMs >= oldest) {
+      if (connection.isOpen && connection.lastResponseAtMs >= oldestAtMs) {
         return connection;
       }
       this.#mayHaveRestarted ||= !connection.isOpen;
@@ -148,7 +151,7 @@
   }
 }
 
-/** Whether the peer has said that it closes the connection. */
+/** Whether the peer closes the connection after this response. */
 function isLastResponse({ headers }: HttpResponse): boolean {
   return headers.some(({ name, value }) =>
     name === "connection" && value.toLowerCase() === "close"
--- a/packages/transport/src/http_connection.ts
+++ b/packages/transport/src/http_connection.ts
@@ -1,10 +1,10 @@
 /**
  * One TCP connection that carries one HTTP request at a time.
  *
- * `undici` speaks the protocol, over a socket that is opened here, so that two
- * things hold which its own pools do not give: it can never reconnect and send
- * a request again, and the socket can be reset, so that what the kernel still
- * holds of a cancelled request never leaves.
+ * `undici` implements the protocol, over a socket that this module opens. This
+ * gives two guarantees that the pools of `undici` do not: `undici` can never
+ * reconnect and send a request again, and the socket can be reset, so that the
+ * part of a cancelled request that is still in the kernel is never sent.
  */
 import { connect, type Socket } from "node:net";
 import { type buildConnector, Client } from "undici";
@@ -19,12 +19,12 @@
 import { ResponseTimeout } from "./response_timeout.ts";
 
 export interface OpenFailure {
-  /** `refused`: nothing listens there. `unreachable`: nobody answered. */
+  /** `refused`: no process listens there. `unreachable`: any other failure. */
   readonly kind: "refused" | "unreachable";
   readonly message: string;
 }
 
-/** After this long without traffic the kernel asks whether the peer is there. */
+/** After this long without traffic the kernel probes whether the peer is alive. */
 const TCP_KEEP_ALIVE_MS = 1_000;
 
 export class HttpConnection {
@@ -37,8 +37,8 @@
 
   constructor(socket: Socket, address: string, clock: Clock) {
     this.#socket = socket;
-    // Before `undici` hears of it, which takes an answer without a length for
-    // whole however its connection ended.
+    // This listener must run before those of `undici`, which reports a response
+    // without a length as complete however its connection ended.
     socket.on("end", () => this.#hasReceivedFin = true);
     this.#clock = clock;
     this.#lastResponseAtMs = clock.readMs();
@@ -50,12 +50,12 @@
     });
   }
 
-  /** Whether a request may be put on it. */
+  /** Whether a request may be sent on this connection. */
   get isOpen(): boolean {
     return !this.#socket.destroyed && this.#socket.readyState === "open";
   }
 
-  /** When the last whole answer came in, or when it was opened; own clock. */
+  /** Clock time of the last complete response or, before one, of the opening. */
   get lastResponseAtMs(): number {
     return this.#lastResponseAtMs;
   }
@@ -71,46 +71,47 @@
       request,
       (message) => collector.fail("silent", message),
     );
-    const cancel = () => collector.fail("cancelled", "The request was dropped");
+    const cancel = () =>
+      collector.fail("cancelled", "The sender cancelled the request");
     request.signal?.addEventListener("abort", cancel, { once: true });
     if (request.signal?.aborted) {
       cancel();
     } else {
       this.#dispatch(request, collector);
     }
-    const ending = await collector.outcome;
+    const outcome = await collector.outcome;
     timeout.clear();
     request.signal?.removeEventListener("abort", cancel);
     if (
-      ending.kind === "answered" && !ending.response.isSelfDelimited &&
+      outcome.kind === "answered" && !outcome.response.isSelfDelimited &&
       !this.#hasReceivedFin
     ) {
       this.reset();
-      const message = "The connection broke within the answer";
+      const message = "The connection was lost before the end of the response";
       return Err({ written: true, cause: "cut", message });
     }
-    if (ending.kind === "answered") {
+    if (outcome.kind === "answered") {
       this.#lastResponseAtMs = this.#clock.readMs();
-      return Ok(ending.response);
+      return Ok(outcome.response);
     }
-    // Anything but the very same count is taken as written.
+    // Unless the count is unchanged, the request counts as written.
     const written = this.#socket.bytesWritten !== writtenBefore;
     this.reset();
-    return Err({ written, cause: ending.cause, message: ending.message });
+    return Err({ written, cause: outcome.cause, message: outcome.message });
   }
 
   /**
-   * Ends the connection with a reset. Failure: a request was given up while
-   * part of it waits in the kernel behind a silent path, and the path comes
-   * back minutes later. A plain close would still deliver it; a reset discards
-   * it.
+   * Closes the connection with a TCP reset. Failure: a request is abandoned
+   * while part of it waits in the kernel because the network path is down, and
+   * the path recovers minutes later. A plain close would still deliver that
+   * part; a reset discards it.
    */
   reset(): void {
     this.#socket.resetAndDestroy();
     this.#client.destroy().catch(() => undefined);
   }
 
-  /** Ends an idle connection. */
+  /** Closes an idle connection. */
   close(): void {
     this.#socket.destroy();
     this.#client.destroy().catch(() => undefined);
@@ -134,9 +135,9 @@
   }
 
   /**
-   * Failure: `undici` reopens a lost connection and puts a queued or reset
-   * request on the new one, so that it runs twice. It gets one socket for its
-   * life; every later attempt to connect fails.
+   * Gives `undici` the socket once; every later attempt to connect fails.
+   * Failure: `undici` reopens a lost connection and sends a queued or reset
+   * request on the new connection, so that the request runs twice.
    */
   #offerSocket(callback: buildConnector.Callback): void {
     if (this.#isSocketTaken || !this.isOpen) {
@@ -144,12 +145,12 @@
       return;
     }
     this.#isSocketTaken = true;
-    // `undici` ignores an answer that comes before its call returns.
+    // `undici` ignores a callback that is invoked before its call returns.
     queueMicrotask(() => callback(null, this.#socket));
   }
 }
 
-/** Opens a connection to `host:port`; nothing is written to it. */
+/** Opens a connection to `host:port` without writing to it. */
 export function openConnection(
   address: string,
   options: { readonly timeoutMs: number; readonly clock: Clock },
@@ -158,14 +159,16 @@
   const host = address.slice(0, separator).replace(/^\[|\]$/g, "");
   const port = Number(address.slice(separator + 1));
   if (!Number.isInteger(port) || port < 1 || port > 65_535) {
-    const message = `Address "${address}" has no port; write host:port`;
+    const message =
+      `Address "${address}" has no valid port; expected host:port`;
     return Promise.resolve(Err({ kind: "unreachable", message }));
   }
   return new Promise((resolve) => {
     const socket = connect({ host, port, noDelay: true });
     const timer = setTimeout(() => {
       socket.destroy();
-      const message = `No connection to ${address} in ${options.timeoutMs} ms`;
+      const message =
+        `No connection to ${address} within ${options.timeoutMs} ms`;
       resolve(Err({ kind: "unreachable", message }));
     }, options.timeoutMs);
     socket.on("error", (error: NodeJS.ErrnoException) => {
--- a/packages/transport/src/http_connection_test.ts
+++ b/packages/transport/src/http_connection_test.ts
@@ -5,16 +5,20 @@
 import { openConnection } from "./http_connection.ts";
 import type { HttpResponse } from "./http_exchange.ts";
 
-const HALF = "HTTP/1.1 200 OK\r\nx-echo: 1\r\n\r\nhalf of it";
+const RESPONSE_WITHOUT_LENGTH =
+  "HTTP/1.1 200 OK\r\nx-echo: 1\r\n\r\nhalf of it";
 
-/** Sends one request to a target that answers without a length and then ends. */
+/** Sends a request to a target whose response has no length; `end` ends its connection. */
 async function sendToTarget(
   end: (socket: Socket) => void,
 ): Promise<HttpResponse | string> {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
     socket.once("data", () => {
-      socket.write(HALF, () => setTimeout(() => end(socket), 20));
+      socket.write(
+        RESPONSE_WITHOUT_LENGTH,
+        () => setTimeout(() => end(socket), 20),
+      );
     });
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -27,24 +31,26 @@
     method: "GET",
     path: "/",
     timeoutMs: 60_000,
-    maxAnswerBytes: 1_000,
+    maxResponseBytes: 1_000,
     acceptsCloseDelimited: true,
   });
   server.close();
   return sent.ok ? sent.val : sent.val.cause;
 }
 
-test("an answer without a length that ends in a reset is cut", async () => {
-  // A caller gets half of a case file and takes it for the whole. The target
-  // dies within an answer that gives no length: its connection is reset, and
-  // the HTTP client passes what came so far as complete.
+test("a response without a length is truncated if its connection is reset", async () => {
+  // Guards against half of a case file that looks complete to the caller: a
+  // target crashes within a response without a length, its connection is reset,
+  // and the HTTP client reports the part that arrived as the whole response.
   assert.equal(await sendToTarget((socket) => socket.resetAndDestroy()), "cut");
 });
 
-test("an answer without a length that ends in order is whole", async () => {
-  const answer = await sendToTarget((socket) => socket.end());
+test("a response without a length is complete if the target closes its connection", async () => {
+  const response = await sendToTarget((socket) => socket.end());
   assert.equal(
-    typeof answer === "string" ? answer : Buffer.from(answer.body).toString(),
+    typeof response === "string"
+      ? response
+      : Buffer.from(response.body).toString(),
     "half of it",
   );
 });
--- a/packages/transport/src/http_exchange.ts
+++ b/packages/transport/src/http_exchange.ts
@@ -1,23 +1,23 @@
-/** One request on a connection, and how it can end. */
+/** Types of one HTTP request, its response and its failures. */
 import type { HeaderField } from "@lentilspur/ports/header_field";
 import type { ResponseLimits } from "./response_timeout.ts";
 
-/** Its limits count from the start of the write. */
+/** The time limits count from the start of the write. */
 export interface HttpRequest extends ResponseLimits {
   readonly method: string;
   readonly path: string;
   readonly headers?: readonly HeaderField[];
   readonly body?: Uint8Array;
-  readonly maxAnswerBytes: number;
+  readonly maxResponseBytes: number;
   /**
-   * Whether an answer may end with its connection. It is whole only if the peer
-   * closed in order; one that was reset is cut.
+   * Whether the response may end with its connection. Such a response is
+   * complete only if the peer closed the connection; a reset truncates it.
    */
   readonly acceptsCloseDelimited?: boolean;
   readonly signal?: AbortSignal;
-  /** Told of each part of the answer's body, in bytes. */
+  /** Called with the size of each part of the response body that arrives. */
   readonly onData?: (bytes: number) => void;
-  /** Asked right before the first byte is written; false keeps it all back. */
+  /** Called right before the first byte is written; on false nothing is written. */
   readonly mayStart?: () => boolean;
 }
 
@@ -25,7 +25,7 @@
   readonly status: number;
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
-  /** Whether it said itself where it ends, by a length or a last chunk. */
+  /** Whether the response marks its own end, by a length or a last chunk. */
   readonly isSelfDelimited: boolean;
 }
 
@@ -37,7 +37,7 @@
   | "cancelled";
 
 export interface SendFailure {
-  /** False proves that no byte of the request was given to the kernel. */
+  /** False proves that no byte of the request was passed to the kernel. */
   readonly written: boolean;
   readonly cause: SendFailureCause;
   readonly message: string;
--- a/packages/transport/src/response_collector.ts
+++ b/packages/transport/src/response_collector.ts
@@ -1,4 +1,4 @@
-/** Gathers one HTTP answer and tells a whole one from a cut one. */
+/** Collects one HTTP response and distinguishes complete from truncated responses. */
 import type { Dispatcher } from "undici";
 import type { HeaderField } from "@lentilspur/ports/header_field";
 import type {
@@ -18,47 +18,50 @@
     readonly message: string;
   };
 
-/** Answers that have no body whatever their headers say. */
+/** Responses with these statuses have no body, whatever their headers say. */
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 const FIRST_FINAL_STATUS = 200;
 
 export class ResponseCollector {
-  /** Resolves once, with the first thing that settles the request. */
+  /** Resolves once, with the complete response or the first failure. */
   readonly outcome: Promise<ResponseOutcome>;
-  /** What `undici` calls as the answer comes in. */
+  /** Callbacks that `undici` invokes as the response arrives. */
   readonly handler: Dispatcher.DispatchHandler = {
     onRequestStart: (controller) => this.#checkStart(controller),
     onResponseStart: (controller, status) =>
       this.#addHead(status, controller.rawHeaders),
     onResponseData: (_controller, chunk) => this.#addChunk(chunk),
-    onResponseEnd: () => this.#settleWhole(),
+    onResponseEnd: () => this.#handleEnd(),
     onResponseError: (_controller, error) =>
       this.fail(this.#status === 0 ? "reset" : "cut", error.message),
   };
   readonly #request: HttpRequest;
   readonly #observeData: () => void;
   readonly #chunks: Uint8Array[] = [];
-  #settle: (ending: ResponseOutcome) => void = () => undefined;
+  #resolve: (outcome: ResponseOutcome) => void = () => undefined;
   #status = 0;
   #headers: readonly HeaderField[] = [];
   #length = 0;
 
-  /** `observeData` is told of each part that comes in, the head included. */
+  /** Calls `observeData` for each part of the response that arrives, its head included. */
   constructor(request: HttpRequest, observeData: () => void) {
     this.#request = request;
     this.#observeData = observeData;
-    this.outcome = new Promise((resolve) => this.#settle = resolve);
+    this.outcome = new Promise((resolve) => this.#resolve = resolve);
   }
 
-  /** Settles the request as failed, unless it is settled already. */
+  /** Ends the request with a failure, unless it has ended already. */
   fail(cause: SendFailureCause, message: string): void {
-    this.#settle({ kind: "failed", cause, message });
+    this.#resolve({ kind: "failed", cause, message });
   }
 
-  /** `undici` writes in the same turn, right after this returns. */
+  /**
+   * Aborts a request that may no longer be written. `undici` writes the request
+   * synchronously after this method returns, so the check still holds then.
+   */
   #checkStart(controller: Dispatcher.DispatchController): void {
     if (this.#request.mayStart?.() === false) {
-      controller.abort(new Error("The request came too late to be written"));
+      controller.abort(new Error("The request may no longer be written"));
     }
   }
 
@@ -75,9 +78,9 @@
 
   #addChunk(chunk: Uint8Array): void {
     this.#length += chunk.length;
-    if (this.#length > this.#request.maxAnswerBytes) {
-      const limit = this.#request.maxAnswerBytes;
-      this.fail("too-large", `The answer is longer than ${limit} bytes`);
+    if (this.#length > this.#request.maxResponseBytes) {
+      const limit = this.#request.maxResponseBytes;
+      this.fail("too-large", `The response is longer than ${limit} bytes`);
       return;
     }
     this.#chunks.push(chunk);
@@ -85,26 +88,29 @@
     this.#request.onData?.(chunk.length);
   }
 
-  #settleWhole(): void {
-    const isFramed = this.#isSelfDelimited();
-    if (!isFramed && this.#request.acceptsCloseDelimited !== true) {
-      this.fail("cut", "The answer does not say where it ends");
+  #handleEnd(): void {
+    const isSelfDelimited = this.#isSelfDelimited();
+    if (!isSelfDelimited && this.#request.acceptsCloseDelimited !== true) {
+      this.fail(
+        "cut",
+        "The response has neither Content-Length nor Transfer-Encoding, so it may be incomplete",
+      );
       return;
     }
-    const answer: HttpResponse = {
+    const response: HttpResponse = {
       status: this.#status,
       headers: this.#headers,
       body: Buffer.concat(this.#chunks, this.#length),
-      isSelfDelimited: isFramed,
+      isSelfDelimited,
     };
-    this.#settle({ kind: "answered", response: answer });
+    this.#resolve({ kind: "answered", response });
   }
 
   /**
-   * Failure: the target dies in the middle of an answer that ends with its
-   * connection, and half of it looks whole. Unless the sender allows it, only
-   * an answer that gives its length or ends with its last chunk is taken;
-   * `undici` checks both.
+   * Whether the response marks its own end, by a length or a last chunk;
+   * `undici` checks both. Failure: a target crashes in the middle of a response
+   * that ends with its connection, and the first half looks complete. Such a
+   * response is accepted only if the sender of the request allows it.
    */
   #isSelfDelimited(): boolean {
     return this.#request.method === "HEAD" ||
--- a/packages/transport/src/response_timeout.ts
+++ b/packages/transport/src/response_timeout.ts
@@ -1,9 +1,9 @@
-/** How long an answer is waited for: in all, or as long as it keeps coming in. */
+/** Times out a response: as a whole, or when it stalls. */
 
 export interface ResponseLimits {
-  /** For the whole answer; with `stallMs`, for its first byte. */
+  /** For the whole response; with `stallTimeoutMs`, only until its first byte. */
   readonly timeoutMs: number;
-  /** Longest pause within an answer that has begun. */
+  /** Longest pause within a response that has begun. */
   readonly stallTimeoutMs?: number;
 }
 
@@ -12,27 +12,27 @@
   readonly #fail: (message: string) => void;
   #timer: NodeJS.Timeout;
 
-  /** `fail` is called once, unless the timeout is cleared before. */
+  /** Calls `fail` once, unless the timeout is cleared first. */
   constructor(limits: ResponseLimits, fail: (message: string) => void) {
     this.#limits = limits;
     this.#fail = fail;
     const { timeoutMs } = limits;
     this.#timer = setTimeout(
-      () => fail(`No whole answer in ${timeoutMs} ms`),
+      () => fail(`No complete response within ${timeoutMs} ms`),
       timeoutMs,
     );
   }
 
-  /** A part of the answer has come in. */
+  /** Restarts the stall timeout after a part of the response has arrived. */
   recordData(): void {
-    const { stallTimeoutMs: stallMs } = this.#limits;
-    if (stallMs === undefined) {
+    const { stallTimeoutMs } = this.#limits;
+    if (stallTimeoutMs === undefined) {
       return;
     }
     clearTimeout(this.#timer);
     this.#timer = setTimeout(
-      () => this.#fail(`The answer stood still for ${stallMs} ms`),
-      stallMs,
+      () => this.#fail(`The response stalled for ${stallTimeoutMs} ms`),
+      stallTimeoutMs,
     );
   }
 
--- a/packages/transport/src/session_pool.ts
+++ b/packages/transport/src/session_pool.ts
@@ -1,11 +1,12 @@
 /**
- * Connections to one address in sessions. Behind a session there is one process
- * for certain.
+ * Groups the connections to one address into sessions. All connections of a
+ * session lead to the same incarnation of a process.
  *
- * Guards against an order that reaches another life of the process it was meant
- * for. A process may start again under its id at its address, and no answer
- * tells which life gave it: only the end of connections shows. So each session
- * has connections of its own, and is over once these are broken.
+ * Failure: an order reaches another incarnation of the process than it is meant
+ * for. A process may restart under its id at its address, and no response shows
+ * which incarnation sent it; only the end of connections reveals a restart. So
+ * each session has its own connections, and ends when they no longer prove that
+ * the process is the same.
  */
 import { Err, type Result } from "@lentilspur/outcomes/result";
 import {
@@ -17,11 +18,11 @@
 
 export type SessionFailure =
   | PoolFailure
-  /** The session is over, and nothing was sent. */
+  /** The session has ended, and nothing was sent. */
   | { readonly stage: "session"; readonly message: string };
 
 export class SessionPool {
-  /** Sessions of all pools are numbered together: none is taken for another. */
+  /** Sessions are numbered across all pools, so that no two have the same number. */
   static #lastSession = 0;
   readonly #address: string;
   readonly #options: PoolOptions;
@@ -34,7 +35,7 @@
     this.#pool = new ConnectionPool(address, options);
   }
 
-  /** Of the process that answers now; another number where it may be another. */
+  /** Number of the current session; changes when the process may have restarted. */
   get session(): number {
     if (!this.#pool.isSameProcess) {
       this.#pool.close();
@@ -44,18 +45,18 @@
     return this.#session;
   }
 
-  /** Sends within a session, or not at all. */
+  /** Sends a request within the given session, or not at all. */
   async send(
     request: HttpRequest,
     session: number,
   ): Promise<Result<HttpResponse, SessionFailure>> {
     if (session !== this.session) {
-      const message = `Session ${session} with ${this.#address} is over`;
+      const message = `Session ${session} with ${this.#address} has ended`;
       return Err({ stage: "session", message });
     }
     return await this.#pool.send({
       ...request,
-      // A connection may have been opened after the others were lost.
+      // The session may end while a new connection is being opened.
       mayStart: () => session === this.session,
     });
   }
--- a/packages/transport/src/session_pool_test.ts
+++ b/packages/transport/src/session_pool_test.ts
@@ -9,7 +9,7 @@
   method: "POST",
   path: "/grant",
   timeoutMs: 60_000,
-  maxAnswerBytes: 1_000,
+  maxResponseBytes: 1_000,
 };
 
 interface Target {
@@ -34,7 +34,7 @@
   return { server, sockets, address: `127.0.0.1:${port}` };
 }
 
-/** The process ends, and its connections with it. */
+/** Ends the server and resets its connections, as a crash of its process does. */
 async function kill({ server, sockets }: Target): Promise<void> {
   const open = [...sockets].filter(({ closed }) => !closed);
   const ended = open.map((socket) =>
@@ -54,17 +54,17 @@
   });
 }
 
-/** Waits for the news of an end that this process has not read yet. */
+/** Waits until the pool has noticed that its connections are closed. */
 async function waitForSession(pool: SessionPool, after: number): Promise<void> {
   while (pool.session === after) {
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
 
-test("a renewal does not reach a later life of the target", async () => {
-  // A target is killed and starts again at its address under its id, within
-  // the time between two renewals. Sent on a fresh connection, the renewal
-  // would give the new life keys under the token that the old one had.
+test("a renewal does not reach a later incarnation of the target", async () => {
+  // A target is killed and restarts at its address under its id between two
+  // renewals. Sent on a new connection, the second renewal would grant keys to
+  // the new incarnation under the token of the old one.
   const first = await openTarget();
   const pool = createPool(first.address);
   const { session } = pool;
@@ -82,7 +82,7 @@
   await kill(second);
 });
 
-test("where the only connection has ended, nobody knows who opens the next", async () => {
+test("a session ends with its only connection", async () => {
   const target = await openTarget({ closes: true });
   const pool = createPool(target.address);
   const { session } = pool;
@@ -92,7 +92,7 @@
   await kill(target);
 });
 
-test("a session goes on while one of its connections is open", async () => {
+test("a session continues while one of its connections is open", async () => {
   const target = await openTarget();
   const pool = createPool(target.address);
   const { session } = pool;
