--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,4 +1,7 @@
-/** Rules that Deno's linter lacks: exhaustive switches and verb prefixes. */
+/**
+ * Rules that Deno's linter lacks: exhaustive switches, handled promises,
+ * #private fields, and functions named by a verb of docs/verbs.md.
+ */
 import { readFileSync } from "node:fs";
 import tseslint from "typescript-eslint";
 
--- a/packages/cli/bin/lentilspur.js
+++ b/packages/cli/bin/lentilspur.js
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Starts the built command; `npm run build` makes it. */
+/** Starts the `lentilspur` command. Run `npm run build` first. */
 import { runMain } from "../dist/main.js";
 
 await runMain();
--- a/packages/cli/src/command_context.ts
+++ b/packages/cli/src/command_context.ts
@@ -1,6 +1,6 @@
 /**
- * What commands need of the world around them. Tests pass fakes; `main.ts`
- * passes the process's own.
+ * The dependencies of commands: clock, output, store and instances. `main.ts`
+ * passes those of the process, tests pass fakes.
  */
 import { randomUUID } from "node:crypto";
 import { once } from "node:events";
@@ -14,16 +14,16 @@
 import { fetchInstanceStatus, type StatusFetcher } from "./instance_status.ts";
 import type { ServeSettings } from "./setting_values.ts";
 
-/** The store together with the connections that it holds. */
+/** A store client that keeps connections open until `close`. */
 export interface StoreConnection extends Store {
   close(): void;
 }
 
-/** An instance that this process runs. */
+/** An instance that runs in this process. */
 export interface RunningInstance {
   readonly host: string;
   readonly ports: InstancePorts;
-  /** Resolves once every request in progress is finished. */
+  /** Resolves once every request in progress has finished. */
   stop(): Promise<void>;
 }
 
@@ -31,19 +31,19 @@
   readonly clock: Clock;
   readonly fetchStatus: StatusFetcher;
   readonly environment: Readonly<Record<string, string | undefined>>;
-  /** One line for the result. */
+  /** Prints one line of the result to standard output. */
   print(line: string): void;
-  /** One line for what went wrong. */
+  /** Prints one line to standard error. */
   printError(line: string): void;
   openStore(address: string): StoreConnection;
-  /** Wall-clock time, only ever shown to people. */
+  /** Returns the wall-clock time, which is only shown to people. */
   readWallClock(): Date;
   mintId(): string;
-  /** The failure is a sentence. */
+  /** On failure, returns the reason as a sentence. */
   startInstance(
     settings: ServeSettings,
   ): Promise<Result<RunningInstance, string>>;
-  /** Resolves when somebody asks this process to stop. */
+  /** Resolves when this process receives SIGTERM or SIGINT. */
   waitForStopSignal(): Promise<void>;
 }
 
@@ -59,7 +59,7 @@
     mintId: () => randomUUID(),
     environment: process.env,
     startInstance,
-    waitForStopSignal: waitForStopSignal,
+    waitForStopSignal,
   };
 }
 
@@ -67,8 +67,8 @@
   settings: ServeSettings,
 ): Promise<Result<RunningInstance, string>> {
   try {
-    // Loaded only here, so that the other commands start without a server's
-    // libraries.
+    // A dynamic import, so that the other commands do not load the libraries
+    // that only a server needs.
     const { startDeclaredInstance } = await import("./declared_instance.ts");
     return Ok(await startDeclaredInstance(settings));
   } catch (error) {
@@ -78,6 +78,6 @@
 
 async function waitForStopSignal(): Promise<void> {
   await Promise.race([once(process, "SIGTERM"), once(process, "SIGINT")]);
-  // A second signal must not cut off the requests that are being finished.
+  // Ignores a further SIGTERM, which would abort the requests in progress.
   process.on("SIGTERM", () => {});
 }
--- a/packages/cli/src/commands/audit.ts
+++ b/packages/cli/src/commands/audit.ts
@@ -1,4 +1,7 @@
-/** `lentilspur audit FILE...`: whether promises were kept, from log lines. */
+/**
+ * `lentilspur audit FILE...`: checks from log lines that all promises were
+ * kept.
+ */
 import { type AuditReport, checkPromises } from "@lentilspur/proof/audit";
 import { command, flag } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
@@ -13,7 +16,7 @@
   return command({
     name: "audit",
     description:
-      "Check from collected log lines that nothing ran twice that may run once only, that whoever was told not-run was told the truth, that answers came from targets, that each key had one owner under each token, and that no configuration went back. Says which files were read and how many lines are missing",
+      "Check from collected log lines that no request ran twice that may run only once, that no request reported as not-run had run, that responses came from targets, that each key had one owner under each token, and that no instance returned to an older configuration. Also prints which files were read and how many lines are missing",
     args: {
       json: flag({ long: "json", description: "Print one JSON object" }),
       files: logFilesArgument,
@@ -46,10 +49,10 @@
     `${requests} requests with ${sends} sends`,
     missingLines === 0
       ? "no line is missing"
-      : `${missingLines} lines are missing: what they told is not proved`,
+      : `${missingLines} lines are missing; the audit does not cover what they recorded`,
     ...(unreadableLines === 0
       ? []
-      : [`${unreadableLines} lines are no lines of an instance`]),
+      : [`${unreadableLines} lines are not log lines of an instance`]),
     ...findings.map(({ promise, message }) => `BROKEN ${promise}: ${message}`),
     findings.length === 0
       ? "no promise was broken"
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -1,4 +1,4 @@
-/** `lentilspur check DIR`: whether the declarations could be published. */
+/** `lentilspur check DIR`: checks whether the declarations can be published. */
 import type { Configuration } from "@lentilspur/declarations/template";
 import { listWarnings } from "@lentilspur/declarations/warnings";
 import { command, positional } from "cmd-ts";
@@ -11,14 +11,14 @@
   return command({
     name: "check",
     description:
-      "Check declarations and tell every fault with file, line and column. With a store, also check what may not change against the version in force",
+      "Check declarations and report every fault with file, line and column. With a store, also check that no immutable field differs from the version in force",
     examples: [
       {
         description: "Check the files alone",
         command: "lentilspur check declarations",
       },
       {
-        description: "Check also what is fixed for life",
+        description: "Also check the fields that may never change",
         command: "lentilspur check declarations --store 10.0.0.5:7000",
       },
     ],
--- a/packages/cli/src/commands/credential.ts
+++ b/packages/cli/src/commands/credential.ts
@@ -1,18 +1,21 @@
-/** `lentilspur credential`: a new credential and the digest to declare. */
+/** `lentilspur credential`: creates a credential and the digest to declare. */
 import { createHash, randomBytes } from "node:crypto";
 import { DIGEST_PREFIX } from "@lentilspur/declarations/client_account_schema";
 import { command, flag } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
 
-/** 256 bits: as hard to guess as its digest is to invert. */
+/**
+ * 256 bits: a credential is as hard to guess as its SHA-256 digest is to
+ * invert.
+ */
 const CREDENTIAL_BYTES = 32;
 
 export function createCredentialCommand(context: CommandContext) {
   return command({
     name: "credential",
     description:
-      "Make a credential for a client account. The credential goes to the caller and nowhere else; the digest goes into credentialDigests. To replace a credential without a gap, declare both digests, publish, let the caller change over, then remove the old digest",
+      "Create a credential for a client account. Give the credential only to the caller; put the digest into credentialDigests. To replace a credential without an interruption, declare both digests, publish, let the caller switch to the new credential, then remove the old digest",
     args: {
       json: flag({
         long: "json",
@@ -33,7 +36,7 @@
   });
 }
 
-/** The digest of a credential in the form in which it is declared. */
+/** Returns the digest of a credential as declarations write it. */
 export function hashCredential(credential: string): string {
   const digest = createHash("sha256").update(credential).digest("hex");
   return `${DIGEST_PREFIX}${digest}`;
--- a/packages/cli/src/commands/diff.ts
+++ b/packages/cli/src/commands/diff.ts
@@ -1,4 +1,6 @@
-/** `lentilspur diff DIR`: what a publication of the declarations would change. */
+/**
+ * `lentilspur diff DIR`: shows what publishing the declarations would change.
+ */
 import { describeChanges } from "@lentilspur/declarations/change_text";
 import { diffConfigurations } from "@lentilspur/declarations/diff";
 import { command, positional } from "cmd-ts";
@@ -12,7 +14,7 @@
   return command({
     name: "diff",
     description:
-      "Show field by field what publishing the declarations would change, and the version to publish against",
+      "Show each field that publishing the declarations would change, and the version to pass as --expect-version",
     examples: [
       {
         description: "See what a publication would change",
@@ -41,11 +43,11 @@
   directory: string,
 ): Promise<ExitCode> {
   const { version, configuration: inForce } = session.publication;
-  const wanted = await loadConfiguration(context, directory, inForce);
-  if (wanted === undefined) {
+  const declared = await loadConfiguration(context, directory, inForce);
+  if (declared === undefined) {
     return EXIT_CODES.refused;
   }
-  const changes = diffConfigurations(inForce, wanted);
+  const changes = diffConfigurations(inForce, declared);
   if (changes.length === 0) {
     context.print(`No difference from version ${version}, which is in force`);
     return EXIT_CODES.done;
--- a/packages/cli/src/commands/evacuate.ts
+++ b/packages/cli/src/commands/evacuate.ts
@@ -1,4 +1,7 @@
-/** `lentilspur evacuate` and `restore`: takes a data centre out of use, and back. */
+/**
+ * `lentilspur evacuate` and `restore`: take a data centre out of use and put it
+ * back into use.
+ */
 import { command, positional, string } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
@@ -15,14 +18,15 @@
 const dataCentreArgument = positional({
   type: string,
   displayName: "DATA-CENTRE",
-  description: "As targets name it in their entries",
+  description:
+    "Name of the data centre, as in the targets' entries in the store",
 });
 
 export function createEvacuateCommand(context: CommandContext) {
   return createEvacuationCommand(context, {
     name: "evacuate",
     description:
-      "Send nothing more to the targets of a data centre; their keys move to the others",
+      "Stop sending requests to the targets of a data centre; their keys move to targets elsewhere",
     isEvacuated: true,
   });
 }
@@ -37,14 +41,14 @@
 
 function createEvacuationCommand(
   context: CommandContext,
-  { isEvacuated, ...texts }: {
+  { isEvacuated, ...commandInfo }: {
     readonly name: string;
     readonly description: string;
     readonly isEvacuated: boolean;
   },
 ) {
   return command({
-    ...texts,
+    ...commandInfo,
     args: {
       dataCentre: dataCentreArgument,
       operator: operatorOption,
@@ -78,8 +82,8 @@
   }
   if (known !== undefined && !known.val.includes(dataCentre)) {
     context.printError(
-      `No target stands in "${dataCentre}"; name one of: ${
-        known.val.join(", ") || "none has targets"
+      `No target is in data centre "${dataCentre}"; name one of: ${
+        known.val.join(", ") || "no data centre has targets"
       }`,
     );
     return EXIT_CODES.refused;
@@ -92,21 +96,21 @@
   session: StoreSession,
   { dataCentre, operator, isEvacuated }: EvacuationRequest,
 ): Promise<ExitCode> {
-  const written = await session.appendEvacuation(
+  const appended = await session.appendEvacuation(
     dataCentre,
     isEvacuated
       ? { operator, at: context.readWallClock().toISOString() }
       : null,
   );
-  if (!written.ok) {
-    context.printError(describeStoreFailure(written.val));
-    context.printError("Give the same command again; it does no harm twice");
-    return written.val.kind === "unavailable"
+  if (!appended.ok) {
+    context.printError(describeStoreFailure(appended.val));
+    context.printError("Run the same command again; repeating it is safe");
+    return appended.val.kind === "unavailable"
       ? EXIT_CODES.unknown
       : EXIT_CODES.unavailable;
   }
-  const order = isEvacuated ? "evacuation" : "return to use";
-  context.print(`The ${order} of data centre ${dataCentre} is accepted`);
-  context.print("lentilspur status shows which instances have seen it");
+  const operation = isEvacuated ? "evacuation" : "return to use";
+  context.print(`The ${operation} of data centre ${dataCentre} is accepted`);
+  context.print("lentilspur status shows which instances have applied it");
   return EXIT_CODES.done;
 }
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -1,4 +1,6 @@
-/** `lentilspur explain REQUEST-ID FILE...`: what became of a request, and why. */
+/**
+ * `lentilspur explain REQUEST-ID FILE...`: shows how a request ended, and why.
+ */
 import { describeRequest } from "@lentilspur/proof/explain";
 import type { LogLine } from "@lentilspur/proof/log_line";
 import { command, positional, string } from "cmd-ts";
@@ -10,10 +12,10 @@
   return command({
     name: "explain",
     description:
-      "Tell the story of a request from collected log lines: its sends and its end, marked with a star, among what changed around it",
+      "Show the course of a request from collected log lines: its sends and its outcome, marked with a star, among the other events of that time",
     examples: [
       {
-        description: "Why did this request fail",
+        description: "Find out why a request failed",
         command: "lentilspur explain 4f0c… logs/*.log",
       },
     ],
@@ -21,7 +23,7 @@
       requestId: positional({
         type: string,
         displayName: "REQUEST-ID",
-        description: "As the answer's lentilspur-request-id says",
+        description: "Value of the response header lentilspur-request-id",
       }),
       files: logFilesArgument,
     },
@@ -29,23 +31,23 @@
       runWithLogs(
         context,
         files,
-        ({ lines }) => printStory(context, lines, requestId),
+        ({ lines }) => printExplanation(context, lines, requestId),
       ),
   });
 }
 
-function printStory(
+function printExplanation(
   context: CommandContext,
   lines: readonly LogLine[],
   requestId: string,
 ): ExitCode {
-  const story = describeRequest(lines, requestId);
-  if (story.length === 0) {
+  const explanation = describeRequest(lines, requestId);
+  if (explanation.length === 0) {
     context.printError(
-      `No line names "${requestId}": it reached none of these instances, or its lines were dropped (${lines.length} lines read)`,
+      `No line contains request id "${requestId}": the request reached none of these instances, or its lines were dropped (${lines.length} lines read)`,
     );
     return EXIT_CODES.refused;
   }
-  story.forEach((line) => context.print(line));
+  explanation.forEach((line) => context.print(line));
   return EXIT_CODES.done;
 }
--- a/packages/cli/src/commands/history.ts
+++ b/packages/cli/src/commands/history.ts
@@ -1,4 +1,4 @@
-/** `lentilspur history`: who published what. */
+/** `lentilspur history`: lists who published which changes. */
 import type { Publication } from "@lentilspur/declarations/publication";
 import { command, number, option } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
@@ -12,7 +12,7 @@
   return command({
     name: "history",
     description:
-      "Show the latest accepted publications, newest first: version, operator, and each field that changed. Only the last ones are kept; keep the declarations themselves in version control",
+      "Show the latest accepted publications, newest first: version, operator, and each field that changed. The store keeps only the last ones; keep the declarations themselves in version control",
     args: {
       limit: option({
         long: "limit",
@@ -47,7 +47,7 @@
     );
   }
   if (version === 0) {
-    context.print("Nothing has been published; begin with lentilspur publish");
+    context.print("Nothing has been published yet; run lentilspur publish");
   }
   return EXIT_CODES.done;
 }
--- a/packages/cli/src/commands/losses.ts
+++ b/packages/cli/src/commands/losses.ts
@@ -1,4 +1,6 @@
-/** `lentilspur losses FILE...`: when and why requests were not answered. */
+/**
+ * `lentilspur losses FILE...`: shows when and why requests were not answered.
+ */
 import {
   listLosses,
   type LossReason,
@@ -14,19 +16,22 @@
   runWithLogs,
 } from "../log_files.ts";
 
-/** Long enough to hold some hundred requests, short enough to show a spell. */
+/**
+ * Long enough for some hundred requests, short enough to show a brief
+ * disturbance.
+ */
 const DEFAULT_WINDOW_SECONDS = 2;
-/** Beside each window; the rest stands in the sum. */
-const REASONS_PER_WINDOW = 3;
+/** Reasons printed for each window; the totals list all of them. */
+const MAX_REASONS_PER_WINDOW = 3;
 
 export function createLossesCommand(context: CommandContext) {
   return command({
     name: "losses",
     description:
-      "Show from collected log lines when and for which reasons requests were not answered by a target, and how far the busiest target was above the mean",
+      "Show from collected log lines when and why no target answered a request, and the ratio of the busiest target's sends to the mean",
     examples: [
       {
-        description: "What went wrong this morning",
+        description: "Find out when and why requests failed",
         command: "lentilspur losses logs/*.log",
       },
     ],
@@ -34,7 +39,7 @@
       seconds: option({
         long: "window",
         type: number,
-        description: "Seconds that are counted together",
+        description: "Length of each window in seconds",
         defaultValue: () => DEFAULT_WINDOW_SECONDS,
         defaultValueIsSerializable: true,
       }),
@@ -61,7 +66,7 @@
   const windows = listLosses(lines, seconds * 1_000);
   if (windows.length === 0) {
     context.printError(
-      `No request ended in these ${lines.length} lines; name the output of instances`,
+      `None of these ${lines.length} lines records the end of a request; pass the standard output of instances`,
     );
     return EXIT_CODES.refused;
   }
@@ -83,10 +88,10 @@
     String(ended).padStart(5),
     `${(100 * answered / ended).toFixed(1)} %`.padStart(8),
     busiest.toFixed(2).padStart(12),
-    reasons.slice(0, REASONS_PER_WINDOW).map(formatShort).join(", "),
+    reasons.slice(0, MAX_REASONS_PER_WINDOW).map(formatReason).join(", "),
   ].join("  ");
 }
 
-function formatShort({ text, count }: LossReason): string {
+function formatReason({ text, count }: LossReason): string {
   return `${count} ${text}`;
 }
--- a/packages/cli/src/commands/owner.ts
+++ b/packages/cli/src/commands/owner.ts
@@ -1,4 +1,4 @@
-/** `lentilspur owner TEMPLATE KEY`: who owns a key now. */
+/** `lentilspur owner TEMPLATE KEY`: shows which target owns a key. */
 import { hashPathKey } from "@lentilspur/gateway/requests/path_key";
 import type { OwnedRange } from "@lentilspur/ownership/key_table";
 import { command, number, option, positional, string } from "cmd-ts";
@@ -7,20 +7,20 @@
 import { runWithStore, storeOption } from "../store_options.ts";
 import { describeStoreFailure, type StoreSession } from "../store_session.ts";
 
-/** As `lentilspur serve` has it. */
+/** The default of the setting `--store-parts` of `lentilspur serve`. */
 const DEFAULT_PARTITION_COUNT = 8;
 
-interface WantedKey {
+interface KeyQuery {
   readonly template: string;
   readonly key: string;
-  readonly parts: number;
+  readonly partitionCount: number;
 }
 
 export function createOwnerCommand(context: CommandContext) {
   return command({
     name: "owner",
     description:
-      "Show who owns a key as of now: its number, the range that holds it, the target that owns the range, its fencing token, and who held it before where it is moving",
+      "Show which target owns a key now: the key's number, the range that contains it, the target that owns the range, its fencing token, and the former owners while the range is moving",
     examples: [
       {
         description: "Who owns a key now",
@@ -31,27 +31,28 @@
       template: positional({
         type: string,
         displayName: "TEMPLATE",
-        description: "The kind of traffic",
+        description: "Name of the template",
       }),
       key: positional({
         type: string,
         displayName: "KEY",
-        description: "The key as it stands in the path",
+        description: "The key as it is written in the path",
       }),
-      parts: option({
+      partitionCount: option({
         long: "store-parts",
         type: number,
-        description: "Partitions of the table of owners, as instances have it",
+        description:
+          "Number of partitions of the ownership table; the value that the instances use",
         defaultValue: () => DEFAULT_PARTITION_COUNT,
         defaultValueIsSerializable: true,
       }),
       store: storeOption,
     },
-    handler: ({ store, ...wanted }): Promise<ExitCode> =>
+    handler: ({ store, ...query }): Promise<ExitCode> =>
       runWithStore(
         context,
         store,
-        (session) => printOwner(context, session, wanted),
+        (session) => printOwner(context, session, query),
       ),
   });
 }
@@ -59,21 +60,21 @@
 async function printOwner(
   context: CommandContext,
   session: StoreSession,
-  { template, key, parts }: WantedKey,
+  { template, key, partitionCount }: KeyQuery,
 ): Promise<ExitCode> {
   const { templates } = session.publication.configuration;
   if (!templates.some(({ name }) => name === template)) {
     const known = templates.map(({ name }) => name).join(", ");
     context.printError(
-      `No template ${JSON.stringify(template)} is in force; there are: ${
-        known || "none"
-      }`,
+      `No template ${
+        JSON.stringify(template)
+      } is in force; templates in force: ${known || "none"}`,
     );
     return EXIT_CODES.refused;
   }
   const keyNumber = hashPathKey(key);
   const found = await session
-    .findOwner({ service: template, key: keyNumber, partitionCount: parts });
+    .findOwner({ service: template, key: keyNumber, partitionCount });
   if (!found.ok) {
     context.printError(describeStoreFailure(found.val));
     return EXIT_CODES.unavailable;
--- a/packages/cli/src/commands/publish.ts
+++ b/packages/cli/src/commands/publish.ts
@@ -1,4 +1,4 @@
-/** `lentilspur publish DIR`: puts the declarations into force. */
+/** `lentilspur publish DIR`: publishes the declarations. */
 import {
   command,
   extendType,
@@ -28,17 +28,21 @@
 } from "../store_options.ts";
 import type { StoreSession } from "../store_session.ts";
 
-/** Covers a restart of the store and still lets an operator wait for the end. */
+/**
+ * Covers a restart of the store and is still a wait that an operator accepts.
+ */
 const DEFAULT_STORE_TIMEOUT_MS = 10_000;
 
-/** A publication is to be in force everywhere within 5 s. */
+/** A publication must be in force on all instances within 5 s. */
 const DEFAULT_IN_FORCE_TIMEOUT_MS = 5_000;
 
 const versionType = extendType(string, {
   displayName: "version",
   from: (text): Promise<number> =>
     /^[0-9]{1,15}$/.test(text) ? Promise.resolve(Number(text)) : Promise.reject(
-      new Error(`"${text}" is no version, take it from lentilspur diff`),
+      new Error(
+        `"${text}" is not a version number; lentilspur diff prints the version in force`,
+      ),
     ),
 });
 
@@ -56,7 +60,7 @@
   return command({
     name: "publish",
     description:
-      "Put the declarations into force as one whole, against the version that you have seen. If somebody else has published since, nothing changes and you are told what they changed",
+      "Publish all declarations at once, against the version that they were made from. If somebody else has published since, nothing changes and the command lists their changes",
     examples: [
       {
         description: "Publish against version 7",
@@ -77,12 +81,14 @@
       expectVersion: option({
         long: "expect-version",
         type: versionType,
-        description: "The version that the change was made against",
+        description:
+          "The version that was in force when the change was made; lentilspur diff prints it",
       }),
       operator: operatorOption,
       allowRemovals: flag({
         long: "allow-removals",
-        description: "Also remove what the directory no longer holds",
+        description:
+          "Allow the removal of documents that the directory no longer contains",
       }),
       resume: option({
         long: "resume",
@@ -91,12 +97,12 @@
       }),
       patience: createDurationOption(
         "patience",
-        "How long to go on while the store does not answer",
+        "How long to keep trying while the store does not respond",
         DEFAULT_STORE_TIMEOUT_MS,
       ),
       waitInForce: createDurationOption(
         "wait-in-force",
-        "How long to wait for every instance to have it in force",
+        "How long to wait until the version is in force on every instance",
         DEFAULT_IN_FORCE_TIMEOUT_MS,
       ),
       store: storeOption,
@@ -148,7 +154,10 @@
   });
 }
 
-/** The publisher's own time, for people who read the history. */
+/**
+ * Returns the publisher's wall-clock time, for readers of the history, with a
+ * random suffix.
+ */
 function makeNonce(context: CommandContext): string {
   const time = context.readWallClock().toISOString().replace(/[-:]|\.\d+/g, "");
   return `${time}-${context.mintId().slice(0, 8)}`;
@@ -160,16 +169,16 @@
   options: { readonly version: number; readonly timeoutMs: number },
 ): Promise<ExitCode> {
   const startedAt = context.clock.readMs();
-  let asked: readonly QueriedInstance[] = [];
+  let instances: readonly QueriedInstance[] = [];
   const reports = await waitUntilInForce({
     ...options,
     fetchStatus: context.fetchStatus,
     clock: context.clock,
     readMembers: async () => {
-      // While the store does not answer, the members known so far are asked.
+      // While the store does not respond, queries the members listed last.
       const members = await session.listMembers();
-      asked = members.ok ? members.val.map(toQueriedInstance) : asked;
-      return asked;
+      instances = members.ok ? members.val.map(toQueriedInstance) : instances;
+      return instances;
     },
   });
   const elapsedMs = Math.round(context.clock.readMs() - startedAt);
--- a/packages/cli/src/commands/serve.ts
+++ b/packages/cli/src/commands/serve.ts
@@ -1,4 +1,4 @@
-/** `lentilspur serve`: runs one instance until it is asked to stop. */
+/** `lentilspur serve`: runs one instance until SIGTERM or SIGINT. */
 import { command, option, optional, string } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
@@ -16,7 +16,7 @@
   return command({
     name: "serve",
     description:
-      "Run one instance. SIGTERM or SIGINT stops it gracefully: it leaves the balancer, hands its duties over, finishes every request in progress and exits with 0. Each setting is a flag or an environment variable; the flag goes first",
+      "Run one instance. SIGTERM or SIGINT stops it gracefully: it leaves the load balancer, hands over its duties, finishes every request in progress and exits with 0. Each setting is a flag or an environment variable; the flag takes precedence",
     examples: [
       {
         description: "An instance in Bole",
@@ -29,17 +29,20 @@
   });
 }
 
-/** The environment and defaults are resolved with all settings together. */
+/**
+ * Creates an optional flag: `resolveSettings` applies the environment and
+ * defaults.
+ */
 function createSettingOption(name: SettingName) {
   const { description, fallback }: Setting<unknown> = SETTINGS[name];
   const long = getFlagName(name);
-  const otherwise = fallback === undefined
+  const defaultText = fallback === undefined
     ? "required"
     : `default: ${fallback}`;
   const topic = {
     category: "options",
     usage: `--${long} <value>`,
-    defaults: [`env: ${getVariableName(name)}`, otherwise],
+    defaults: [`env: ${getVariableName(name)}`, defaultText],
     description,
   };
   return {
@@ -62,15 +65,15 @@
   context: CommandContext,
   flags: RawSettings["flags"],
 ): Promise<ExitCode> {
-  const texts = { flags, environment: context.environment };
-  const settings = resolveSettings(texts);
+  const rawSettings = { flags, environment: context.environment };
+  const settings = resolveSettings(rawSettings);
   if (!settings.ok) {
     settings.val.forEach((fault) => context.printError(fault));
     context.printError(`${settings.val.length} faults; nothing was started`);
     return EXIT_CODES.usage;
   }
   const { instance } = settings.val.gateway;
-  // Listens before the start, so that a signal during it is not missed.
+  // Listens for signals first, so that one during the start is not lost.
   const stopping = context.waitForStopSignal();
   const started = await context.startInstance(settings.val);
   if (!started.ok) {
@@ -78,12 +81,14 @@
     return EXIT_CODES.unavailable;
   }
   const { host, ports } = started.val;
-  // Standard output belongs to the log lines, which are JSON.
+  // Goes to standard error, because standard output carries the JSON log lines.
   context.printError(
     `Instance ${instance} answers callers on ${host}:${ports.request}, says how it is on ${host}:${ports.status}, metrics on ${host}:${ports.metrics}/metrics`,
   );
   await stopping;
-  context.printError(`Instance ${instance} finishes its work and stops`);
+  context.printError(
+    `Instance ${instance} finishes the requests in progress and stops`,
+  );
   await started.val.stop();
   return EXIT_CODES.done;
 }
--- a/packages/cli/src/commands/show.ts
+++ b/packages/cli/src/commands/show.ts
@@ -1,4 +1,4 @@
-/** `lentilspur show`: what is in force, as files would declare it. */
+/** `lentilspur show`: prints the configuration in force as declarations. */
 import { renderConfiguration } from "@lentilspur/declarations/render";
 import { command } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
@@ -9,7 +9,7 @@
   return command({
     name: "show",
     description:
-      "Print everything in force as YAML with all defaults filled in; it checks and publishes as it is",
+      "Print the configuration in force as YAML with all defaults filled in; the output can be checked and published unchanged",
     args: { store: storeOption },
     handler: ({ store }): Promise<ExitCode> =>
       runWithStore(context, store, ({ publication }) => {
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,4 +1,7 @@
-/** `lentilspur status`: where the published version is in force. */
+/**
+ * `lentilspur status`: shows on which instances the published version is in
+ * force.
+ */
 import { array, command, flag, multioption, string } from "cmd-ts";
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES, type ExitCode } from "../exit_codes.ts";
@@ -14,15 +17,16 @@
 import { optionalStoreOption, runWithStore } from "../store_options.ts";
 import { describeStoreFailure, type StoreSession } from "../store_session.ts";
 
-/** Two screens; beyond it only those that lag are worth reading. */
+/** About two screens; with more instances, only those behind are listed. */
 const MAX_LISTED_INSTANCES = 48;
 
-/** What is asked for, and of whom. */
 interface StatusRequest {
-  readonly asked: readonly QueriedInstance[];
-  /** The version that should be in force; the highest found if unknown. */
+  readonly instances: readonly QueriedInstance[];
+  /**
+   * The version that should be in force; by default the highest one reported.
+   */
   readonly version?: number;
-  /** Where the record is still at hand. */
+  /** Who published the version, where the store still has the note. */
   readonly operator?: string | undefined;
   readonly all: boolean;
 }
@@ -34,7 +38,7 @@
       "Ask every member instance which version it has in force and since when",
     examples: [
       {
-        description: "While the store is down, name the instances yourself",
+        description: "While the store is down, pass the instances' addresses",
         command:
           "lentilspur status --instance 10.0.3.7:8082 --instance 10.0.4.7:8082",
       },
@@ -43,23 +47,23 @@
       all: flag({
         long: "all",
         description:
-          `List also those that have it, where there are more than ${MAX_LISTED_INSTANCES}`,
+          `Also list the instances that have the version, where there are more than ${MAX_LISTED_INSTANCES} instances`,
       }),
       instances: multioption({
         long: "instance",
         type: array(string),
         description:
-          "Ask this status address and leave the store alone; may be given again",
+          "Query this status address without reading the store; may be repeated",
       }),
       store: optionalStoreOption,
     },
     handler: async ({ all, instances, store }): Promise<ExitCode> => {
       if (instances.length > 0) {
-        const asked = instances.map(toNamed);
-        return await printStatus(context, { asked, all });
+        const named = instances.map(toNamedInstance);
+        return await printStatus(context, { instances: named, all });
       }
       if (store === undefined) {
-        context.printError("Name the store by --store, or each --instance");
+        context.printError("Pass --store, or --instance for each instance");
         return EXIT_CODES.usage;
       }
       return await runWithStore(
@@ -83,22 +87,22 @@
   }
   const { version, notes } = session.publication;
   return await printStatus(context, {
-    asked: members.val.map(toQueriedInstance),
+    instances: members.val.map(toQueriedInstance),
     version,
     operator: notes.at(-1)?.operator,
     all,
   });
 }
 
-function toNamed(address: string): QueriedInstance {
+function toNamedInstance(address: string): QueriedInstance {
   return { id: "instance", dataCentre: "unknown", address };
 }
 
 async function printStatus(
   context: CommandContext,
-  { asked, all, version: published, operator }: StatusRequest,
+  { instances, all, version: published, operator }: StatusRequest,
 ): Promise<ExitCode> {
-  const found = await collectMemberReports(asked, context.fetchStatus);
+  const found = await collectMemberReports(instances, context.fetchStatus);
   const reports = found.filter((report) => !isGone(report));
   const version = published ?? findHighestVersion(reports);
   const behind = reports.filter((report) => !isInForce(report, version));
@@ -112,7 +116,9 @@
   );
   if (shown.length < reports.length) {
     context.print(
-      `Not shown: ${reports.length - shown.length} with it; add --all`,
+      `Not shown: ${
+        reports.length - shown.length
+      } instances that have the version; add --all to list them`,
     );
   }
   const inForce = reports.length - behind.length;
--- a/packages/cli/src/declaration_files.ts
+++ b/packages/cli/src/declaration_files.ts
@@ -1,4 +1,4 @@
-/** Reads a directory of declarations, with everything below it. */
+/** Reads the declarations in a directory and its subdirectories. */
 import { readdir, readFile } from "node:fs/promises";
 import { join } from "node:path";
 import { formatDeclarationFault } from "@lentilspur/declarations/declaration_fault";
@@ -12,21 +12,23 @@
 const EXTENSION_PATTERN = /\.ya?ml$/;
 
 /**
- * Reads every `.yaml` and `.yml` file. The failure is a sentence: nothing of a
- * directory that can be read only in part is ever used, because what is
- * missing from it would count as removed.
+ * Reads every `.yaml` and `.yml` file, or returns the reason for the failure as
+ * a sentence. One unreadable file fails the whole directory, because documents
+ * that are missing from it count as removed.
  */
 export async function readDeclarationFiles(
   directory: string,
 ): Promise<Result<readonly DeclarationFile[], string>> {
   try {
     const names = await readdir(directory, { recursive: true });
-    const wanted = names.filter((name) => EXTENSION_PATTERN.test(name)).sort();
-    if (wanted.length === 0) {
-      return Err(`No .yaml file stands in ${JSON.stringify(directory)}`);
+    const declarationNames = names.filter((name) =>
+      EXTENSION_PATTERN.test(name)
+    ).sort();
+    if (declarationNames.length === 0) {
+      return Err(`No .yaml or .yml file found in ${JSON.stringify(directory)}`);
     }
     const files = await Promise.all(
-      wanted.map((name) => readDeclarationFile(directory, name)),
+      declarationNames.map((name) => readDeclarationFile(directory, name)),
     );
     return Ok(files);
   } catch (error) {
@@ -43,7 +45,7 @@
   return { name: path, text: await readFile(path, "utf8") };
 }
 
-/** Undefined where anything is at fault, which has then been printed. */
+/** Prints all faults and returns undefined if the declarations are invalid. */
 export async function loadConfiguration(
   context: CommandContext,
   directory: string,
--- a/packages/cli/src/declared_instance.ts
+++ b/packages/cli/src/declared_instance.ts
@@ -1,4 +1,7 @@
-/** Starts an instance that goes by declarations, on the platform's store. */
+/**
+ * Starts an instance that is configured by the declarations in the platform's
+ * store.
+ */
 import { randomUUID } from "node:crypto";
 import process from "node:process";
 import { decodePublishedRouting } from "@lentilspur/declarations/publication";
@@ -11,7 +14,7 @@
 import type { RunningInstance } from "./command_context.ts";
 import type { ServeSettings } from "./setting_values.ts";
 
-/** Rejects if it cannot listen. */
+/** Rejects if the instance cannot listen on its ports. */
 export async function startDeclaredInstance(
   settings: ServeSettings,
 ): Promise<RunningInstance> {
--- a/packages/cli/src/declared_instance_test.ts
+++ b/packages/cli/src/declared_instance_test.ts
@@ -19,7 +19,7 @@
 const CREDENTIAL = "playground-highland-mutual";
 const POLL_MS = 50;
 
-interface Answer {
+interface ParsedResponse {
   readonly status: number;
   readonly outcome: string;
   readonly body: Readonly<Record<string, unknown>>;
@@ -33,28 +33,28 @@
     readonly headers?: Readonly<Record<string, string>>;
     readonly body?: string;
   },
-): Promise<Answer> {
+): Promise<ParsedResponse> {
   const { method = "GET", path, headers, body } = options;
-  const answer = await request(`http://${address}${path}`, {
+  const response = await request(`http://${address}${path}`, {
     method,
     headers: headers ?? { authorization: `Bearer ${CREDENTIAL}` },
     ...(body === undefined ? {} : { body }),
   });
   return {
-    status: answer.statusCode,
-    outcome: String(answer.headers["lentilspur-outcome"]),
-    body: await answer.body.json() as Answer["body"],
+    status: response.statusCode,
+    outcome: String(response.headers["lentilspur-outcome"]),
+    body: await response.body.json() as ParsedResponse["body"],
   };
 }
 
-function getErrorKind({ body }: Answer): unknown {
+function getErrorKind({ body }: ParsedResponse): unknown {
   return (body["error"] as { kind?: unknown } | undefined)?.kind;
 }
 
-test("the whole path by declarations: publish, route, own keys, refuse", async () => {
-  // An operator publishes declarations into an empty store; an instance that
-  // was there before takes them into force, gives targets their keys and lets
-  // in whom the declarations name. The same core as on the platform's machines.
+test("an instance applies a publication, routes requests, assigns keys and refuses invalid requests", async () => {
+  // An operator publishes declarations into an empty store. An instance that
+  // runs already must apply them, assign keys to the targets and admit only the
+  // declared client accounts. The instance is the one that `serve` starts.
   const clock = new SystemClock();
   const storeServer = new StoreServer(clock);
   const storeAddress = await storeServer.open();
@@ -87,8 +87,8 @@
   const instance = await startDeclaredInstance(settings);
   const address = `127.0.0.1:${instance.ports.request}`;
 
-  const early = await send(address, { path: "/case-files/case-9" });
-  assert.equal(getErrorKind(early), "not-ready");
+  const earlyResponse = await send(address, { path: "/case-files/case-9" });
+  assert.equal(getErrorKind(earlyResponse), "not-ready");
 
   const context = { ...createSystemContext(), print: () => {} };
   const published = await runCommandLine([
@@ -104,15 +104,21 @@
   );
   assert.equal(status.unwrap().configurationVersion, 1);
 
-  let answer = await send(address, { path: "/case-files/case-9" });
-  while (answer.status !== 200) {
+  let response = await send(address, { path: "/case-files/case-9" });
+  while (response.status !== 200) {
     await clock.sleep(POLL_MS);
-    answer = await send(address, { path: "/case-files/case-9" });
+    response = await send(address, { path: "/case-files/case-9" });
   }
-  assert.equal(answer.outcome, "ran");
-  assert.equal(answer.body["path"], "/case-files/case-9");
-  const spelt = await send(address, { path: "/case-files/case%2D9" });
-  assert.equal(spelt.body["key"], answer.body["key"], "one key, one number");
+  assert.equal(response.outcome, "ran");
+  assert.equal(response.body["path"], "/case-files/case-9");
+  const encodedKeyResponse = await send(address, {
+    path: "/case-files/case%2D9",
+  });
+  assert.equal(
+    encodedKeyResponse.body["key"],
+    response.body["key"],
+    "both spellings of a key have the same number",
+  );
 
   const refusals = [
     { path: "/case-files/case-9", headers: {} },
@@ -133,9 +139,9 @@
   ];
   const kinds = [];
   for (const refusal of refusals) {
-    const refused = await send(address, refusal);
-    assert.equal(refused.outcome, "not-run");
-    kinds.push(getErrorKind(refused));
+    const refusedResponse = await send(address, refusal);
+    assert.equal(refusedResponse.outcome, "not-run");
+    kinds.push(getErrorKind(refusedResponse));
   }
   assert.deepEqual(kinds, [
     "unauthenticated",
@@ -152,7 +158,7 @@
   storeServer.close();
 });
 
-test("the example of the front page is one of the playground's", () => {
+test("the README's example uses a credential of the playground", () => {
   const readme = readFileSync(
     new URL("../../../README.md", import.meta.url),
     "utf8",
--- a/packages/cli/src/evacuate_test.ts
+++ b/packages/cli/src/evacuate_test.ts
@@ -17,7 +17,10 @@
   return new FakeTerminal(platform);
 }
 
-function findNewest(terminal: FakeTerminal, key: string): string | undefined {
+function findNewestValue(
+  terminal: FakeTerminal,
+  key: string,
+): string | undefined {
   return terminal.platform.store.listRecords(PUBLISHED_CONFIGURATION)
     .findLast((record) => record.key === key)?.value;
 }
@@ -26,16 +29,19 @@
   const terminal = createTerminal();
   const evacuate = ["evacuate", "yeka", ...OPTIONS];
   assert.equal(await terminal.run(...evacuate), EXIT_CODES.done);
-  assert.match(findNewest(terminal, "evacuate/yeka")!, /"operator":"neema"/);
+  assert.match(
+    findNewestValue(terminal, "evacuate/yeka")!,
+    /"operator":"neema"/,
+  );
   assert.equal(await terminal.run(...evacuate), EXIT_CODES.done);
   assert.match(terminal.takeOutput(), /yeka is evacuated already/);
   assert.equal(terminal.platform.recordCount, 1);
   const restore = ["restore", "yeka", ...OPTIONS];
   assert.equal(await terminal.run(...restore), EXIT_CODES.done);
-  assert.equal(findNewest(terminal, "evacuate/yeka"), "");
+  assert.equal(findNewestValue(terminal, "evacuate/yeka"), "");
 });
 
-test("a data centre without targets is not evacuated", async () => {
+test("refuses to evacuate a data centre without targets", async () => {
   const terminal = createTerminal();
   const code = await terminal.run("evacuate", "yekka", ...OPTIONS);
   assert.equal(code, EXIT_CODES.refused);
@@ -43,18 +49,19 @@
   assert.equal(terminal.platform.recordCount, 0);
 });
 
-test("a publication goes on beside an evacuation", async () => {
-  // A publication is written only if its partition has not grown.
+test("retries a publication after a concurrent evacuation", async () => {
+  // An evacuation is appended to the same partition between the publication's
+  // read and its append, so the append's condition on the end offset fails.
   const terminal = createTerminal();
-  const { storeClient: link } = terminal;
+  const { storeClient } = terminal;
   terminal.storeClient = {
-    ...link,
+    ...storeClient,
     append: (request) => {
       if (request.at !== undefined && terminal.platform.recordCount === 0) {
         const { store } = terminal.platform;
         store.write(PUBLISHED_CONFIGURATION, "evacuate/yeka", "{}");
       }
-      return link.append(request);
+      return storeClient.append(request);
     },
   };
   const code = await terminal
@@ -64,7 +71,7 @@
   assert.notEqual(code, EXIT_CODES.refused);
 });
 
-test("status shows which data centres instances send nothing to", async () => {
+test("status shows the evacuated data centres that instances report", async () => {
   const terminal = createTerminal();
   terminal.platform.addMember("a");
   terminal.versions.set("a", 0);
--- a/packages/cli/src/exit_codes.ts
+++ b/packages/cli/src/exit_codes.ts
@@ -1,22 +1,34 @@
-/** How a command ends, as scripts see it. docs/operating/publish.md lists those of publish. */
+/**
+ * Exit codes of all commands. docs/operating/publish.md lists those of
+ * `publish`.
+ */
 
 export const EXIT_CODES = {
-  /** Everything was done, or is as it should be. */
+  /** The command succeeded, or there was nothing to do. */
   done: 0,
-  /** Refused, or found at fault; nothing was changed. */
+  /** The input was refused or faults were found; nothing was changed. */
   refused: 1,
-  /** The command line itself was wrong; nothing was tried. */
+  /** The command line is wrong; nothing was attempted. */
   usage: 2,
-  /** The platform could not be reached; nothing was changed. */
+  /**
+   * The store could not be reached, or an instance did not start; nothing was
+   * changed.
+   */
   unavailable: 3,
-  /** Whether it was accepted is not known; the output says how to find out. */
+  /**
+   * It is unknown whether the change was accepted; the output says how to find
+   * out.
+   */
   unknown: 4,
-  /** Accepted, but not everywhere in force, or somebody does not answer. */
+  /**
+   * The version is not in force on every instance, an instance does not
+   * respond, or none is a member.
+   */
   lagging: 5,
 } as const;
 
 export type ExitCode = typeof EXIT_CODES[keyof typeof EXIT_CODES];
 
-/** The same list for `--help`. */
+/** The exit codes as `--help` prints them. */
 export const EXIT_CODES_HELP =
-  "Exit codes: 0 done, 1 refused or at fault, 2 wrong usage, 3 platform not reached, 4 outcome unknown, 5 not in force everywhere";
+  "Exit codes: 0 done, 1 refused or faults found, 2 wrong usage, 3 platform not reached, 4 outcome unknown, 5 not in force everywhere";
--- a/packages/cli/src/in_force.ts
+++ b/packages/cli/src/in_force.ts
@@ -1,4 +1,4 @@
-/** Where a version is in force: every member instance asked directly. */
+/** Queries instances for the configuration version that each has in force. */
 import { formatDuration } from "@lentilspur/declarations/units";
 import type { Member } from "@lentilspur/gateway/members/members";
 import type { Result } from "@lentilspur/outcomes/result";
@@ -9,7 +9,7 @@
   StatusFetcher,
 } from "./instance_status.ts";
 
-/** One member and what it said, or why it said nothing. */
+/** The status of one instance, or why it could not be fetched. */
 export interface MemberReport {
   readonly instance: string;
   readonly dataCentre: string;
@@ -17,27 +17,36 @@
   readonly status: Result<InstanceStatus, StatusFailure>;
 }
 
-/** Enough that a few silent ones delay nobody, few enough for any machine. */
+/**
+ * Concurrent queries: a few unresponsive instances do not delay the rest, and
+ * any machine can open so many connections.
+ */
 const MAX_CONCURRENT = 64;
 
-/** Who is asked: a member as the store has it, or one that was named. */
+/**
+ * An instance to query: a member listed in the store, or an address given on
+ * the command line.
+ */
 export interface QueriedInstance {
   readonly id: string;
   readonly dataCentre: string;
   readonly address: string;
 }
 
-/** Asks all, many at a time; reports come in the order of `asked`. */
+/**
+ * Queries all instances, at most `MAX_CONCURRENT` at a time; reports are in the
+ * order of `instances`.
+ */
 export async function collectMemberReports(
-  asked: readonly QueriedInstance[],
+  instances: readonly QueriedInstance[],
   fetchStatus: StatusFetcher,
 ): Promise<readonly MemberReport[]> {
   const reports: MemberReport[] = [];
   let next = 0;
   const runWorker = async (): Promise<void> => {
-    while (next < asked.length) {
+    while (next < instances.length) {
       const index = next++;
-      reports[index] = await fetchReport(asked[index]!, fetchStatus);
+      reports[index] = await fetchReport(instances[index]!, fetchStatus);
     }
   };
   await Promise.all(Array.from({ length: MAX_CONCURRENT }, runWorker));
@@ -49,8 +58,8 @@
 }
 
 /**
- * An instance whose process has ended leaves its record behind; what does not
- * run has no version.
+ * Checks whether the process of an instance has ended. Its member record stays
+ * in the store, but it has no version in force.
  */
 export function isGone(report: MemberReport): boolean {
   return !report.status.ok && report.status.val.kind === "gone";
@@ -61,33 +70,37 @@
   readonly fetchStatus: StatusFetcher;
   readonly clock: Clock;
   readonly timeoutMs: number;
-  /** Reads who is a member now: one that left is not waited for. */
+  /**
+   * Reads the current members, so that an instance that has left is not waited
+   * for.
+   */
   readonly readMembers: () => Promise<readonly QueriedInstance[]>;
 }
 
-/** Pause between two rounds of questions. */
+/** Pause between two rounds of queries. */
 const ROUND_PAUSE_MS = 100;
 
 /**
- * Asks until all members have the version or patience ends. A member that has
- * it is not asked again, since an accepted version never reverts.
+ * Queries the members until all have the version or the timeout expires. A
+ * member that has the version is not queried again, since an accepted version
+ * never reverts.
  */
 export async function waitUntilInForce(
   options: InForceOptions,
 ): Promise<readonly MemberReport[]> {
   const { version, fetchStatus, clock } = options;
-  const giveUpAt = clock.readMs() + options.timeoutMs;
-  const done = new Map<string, MemberReport>();
+  const deadlineMs = clock.readMs() + options.timeoutMs;
+  const upToDate = new Map<string, MemberReport>();
   for (;;) {
     const members = await options.readMembers();
-    const open = members.filter(({ id }) => !done.has(id));
-    const reports = await collectMemberReports(open, fetchStatus);
+    const pending = members.filter(({ id }) => !upToDate.has(id));
+    const reports = await collectMemberReports(pending, fetchStatus);
     const behind = reports
       .filter((report) => !isInForce(report, version) && !isGone(report));
     reports.filter((report) => isInForce(report, version))
-      .forEach((report) => done.set(report.instance, report));
-    if (behind.length === 0 || clock.readMs() >= giveUpAt) {
-      return [...done.values(), ...behind];
+      .forEach((report) => upToDate.set(report.instance, report));
+    if (behind.length === 0 || clock.readMs() >= deadlineMs) {
+      return [...upToDate.values(), ...behind];
     }
     await clock.sleep(ROUND_PAUSE_MS);
   }
@@ -106,7 +119,7 @@
   return { id, dataCentre, address: `${host}:${statusPort}` };
 }
 
-/** One line for one member. */
+/** Formats the report of one member as one line. */
 export function describeMemberReport(
   report: MemberReport,
   version: number,
@@ -126,7 +139,9 @@
   return `${name}: version ${status.configurationVersion} ${mark} for ${age}, ${status.targets} targets, ${ready}${duties}${evacuated}`;
 }
 
-/** Whole seconds above one second: nobody reads the rest. */
+/**
+ * Rounds to whole seconds from 1 s on; smaller units do not matter to a reader.
+ */
 function computeShownAge(ms: number): number {
   return ms < 1_000 ? Math.round(ms) : Math.round(ms / 1_000) * 1_000;
 }
--- a/packages/cli/src/instance_status.ts
+++ b/packages/cli/src/instance_status.ts
@@ -1,4 +1,4 @@
-/** What an instance says of itself at `GET /status`. */
+/** Fetches and parses an instance's response to `GET /status`. */
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import { request } from "undici";
 import { z } from "zod";
@@ -12,18 +12,18 @@
   inForceForMs: z.number(),
   targets: z.int().min(0),
   openRequests: z.int().min(0),
-  /** What it does for other instances. */
+  /** Work that the instance does for other instances. */
   duties: z.array(z.string()),
-  /** Data centres that it sends no new work to. */
+  /** Data centres that the instance sends no new requests to. */
   evacuated: z.array(z.string()).readonly(),
 });
 
 export type InstanceStatus = Readonly<z.output<typeof statusSchema>>;
 
 export interface StatusFailure {
-  /** `gone`: nothing listens there, so the process has ended. */
+  /** `gone`: the connection was refused, so the process has ended. */
   readonly kind: "gone" | "silent" | "unreadable";
-  /** A sentence for people. */
+  /** The reason in words, for the operator. */
   readonly message: string;
 }
 
@@ -31,24 +31,27 @@
   address: string,
 ) => Promise<Result<InstanceStatus, StatusFailure>>;
 
-/** An instance answers from memory; past this it is as good as silent. */
+/**
+ * An instance serves its status from memory; a slower one counts as
+ * unresponsive.
+ */
 const STATUS_TIMEOUT_MS = 1_000;
 
 /**
- * Asks over a connection of its own, which is closed afterwards. The timeout
- * covers the whole exchange, because a connection may go silent after its
- * first byte as well.
+ * Fetches the status over a new connection and closes it afterwards. The
+ * timeout covers the whole exchange, because a connection may also stall after
+ * the first byte.
  */
 export async function fetchInstanceStatus(
   address: string,
 ): Promise<Result<InstanceStatus, StatusFailure>> {
   try {
-    const answer = await request(`http://${address}/status`, {
+    const response = await request(`http://${address}/status`, {
       signal: AbortSignal.timeout(STATUS_TIMEOUT_MS),
       headers: { connection: "close" },
     });
-    const body = await answer.body.text();
-    return parseInstanceStatus(answer.statusCode, body);
+    const body = await response.body.text();
+    return parseInstanceStatus(response.statusCode, body);
   } catch (error) {
     return Err(toFailure(error));
   }
@@ -67,12 +70,12 @@
   const fail = (message: string) =>
     Err<StatusFailure>({ kind: "unreadable", message });
   if (statusCode !== 200) {
-    return fail(`it answered with status ${statusCode}`);
+    return fail(`it responded with status ${statusCode}`);
   }
   try {
     const parsed = statusSchema.safeParse(JSON.parse(body));
-    return parsed.success ? Ok(parsed.data) : fail("its answer lacks fields");
+    return parsed.success ? Ok(parsed.data) : fail("its response lacks fields");
   } catch {
-    return fail("its answer is no JSON");
+    return fail("its response is not JSON");
   }
 }
--- a/packages/cli/src/log_files.ts
+++ b/packages/cli/src/log_files.ts
@@ -1,4 +1,4 @@
-/** Reads the log lines that were collected from instances. */
+/** Reads files of log lines that were collected from instances. */
 import { createHash } from "node:crypto";
 import { readFile } from "node:fs/promises";
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
@@ -9,7 +9,9 @@
 
 export interface LogFile {
   readonly name: string;
-  /** SHA-256 of the file, in hex: says which evidence was looked at. */
+  /**
+   * SHA-256 of the file in hex, which identifies the evidence that was checked.
+   */
   readonly digest: string;
 }
 
@@ -17,21 +19,24 @@
   readonly files: readonly LogFile[];
 }
 
-/** The files that a command works on. */
 export const logFilesArgument = restPositionals({
   type: string,
   displayName: "FILE",
-  description: "Standard output of instances, as it was collected",
+  description: "Collected standard output of instances",
 });
 
-/** Reads the files and lets `act` work on their lines. */
+/**
+ * Reads the files, calls `action` with their lines and returns its exit code.
+ */
 export async function runWithLogs(
   context: CommandContext,
   names: readonly string[],
-  act: (lines: CollectedLogs) => ExitCode,
+  action: (lines: CollectedLogs) => ExitCode,
 ): Promise<ExitCode> {
   if (names.length === 0) {
-    context.printError("Name the files of collected lines");
+    context.printError(
+      "No file given; pass the collected standard output of instances",
+    );
     return EXIT_CODES.usage;
   }
   const read = await readLogFiles(names);
@@ -39,10 +44,10 @@
     context.printError(read.val);
     return EXIT_CODES.refused;
   }
-  return act(read.val);
+  return action(read.val);
 }
 
-/** The failure is a sentence. */
+/** On failure, returns the reason as a sentence. */
 async function readLogFiles(
   names: readonly string[],
 ): Promise<Result<CollectedLogs, string>> {
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,6 @@
-/** The `lentilspur` command: one subcommand a module of `commands/`. */
+/**
+ * The `lentilspur` command; each module of `commands/` implements a subcommand.
+ */
 import process from "node:process";
 import { runSafely, subcommands } from "cmd-ts";
 import { type CommandContext, createSystemContext } from "./command_context.ts";
@@ -20,12 +22,12 @@
 import { createStatusCommand } from "./commands/status.ts";
 import { EXIT_CODES, EXIT_CODES_HELP, type ExitCode } from "./exit_codes.ts";
 
-/** A new command is one module of `commands/` and one line here. */
+/** Add a new command as a module of `commands/` and a line here. */
 function createCommands(context: CommandContext) {
   return subcommands({
     name: "lentilspur",
     description:
-      "Routes requests to servers that own their keys exclusively. Operators check, diff and publish declarations; serve runs an instance",
+      "Routes requests to servers that own their keys exclusively. Operators check, diff and publish declarations; lentilspur serve runs an instance",
     cmds: {
       serve: createServeCommand(context),
       check: createCheckCommand(context),
@@ -45,7 +47,7 @@
   });
 }
 
-/** What cmd-ts gives for a subcommand, which may hold a subcommand itself. */
+/** What cmd-ts returns for a subcommand, which may itself have a subcommand. */
 interface SubcommandResult {
   readonly value: Promise<ExitCode> | ExitCode | SubcommandResult;
 }
@@ -55,12 +57,14 @@
   return typeof inner === "number" ? inner : await findExitCode(inner);
 }
 
-/** Runs one command line, without the program's name, to its exit code. */
+/**
+ * Runs a command line, without the program's name, and returns the exit code.
+ */
 export async function runCommandLine(
-  words: readonly string[],
+  args: readonly string[],
   context: CommandContext,
 ): Promise<ExitCode> {
-  const result = await runSafely(createCommands(context), [...words]);
+  const result = await runSafely(createCommands(context), [...args]);
   if (result._tag === "ok") {
     return await findExitCode(result.value);
   }
@@ -74,14 +78,14 @@
   return exitCode === 0 ? EXIT_CODES.done : EXIT_CODES.usage;
 }
 
-/** For the last lines of output to leave the process. */
+/** Time for the last lines of output to be written before the process exits. */
 const EXIT_GRACE_MS = 2_000;
 
-/** Entry of the program; `bin/lentilspur.js` calls it. */
+/** Entry point of the program; `bin/lentilspur.js` calls it. */
 export async function runMain(): Promise<void> {
-  const words = process.argv.slice(2);
-  const code = await runCommandLine(words, createSystemContext());
+  const args = process.argv.slice(2);
+  const code = await runCommandLine(args, createSystemContext());
   process.exitCode = code;
-  // A connection that went silent may hold the process open for minutes.
+  // An unresponsive connection may keep the process running for minutes.
   setTimeout(() => process.exit(code), EXIT_GRACE_MS).unref();
 }
--- a/packages/cli/src/operator_commands_test.ts
+++ b/packages/cli/src/operator_commands_test.ts
@@ -21,8 +21,8 @@
   const terminal = new FakeTerminal(platform);
   await terminal.publish(makeDirectory(), "--expect-version=0");
   terminal.takeOutput();
-  const words = ["owner", "ledger", "case-9", STORE];
-  assert.equal(await terminal.run(...words), EXIT_CODES.done);
+  const ownerArgs = ["owner", "ledger", "case-9", STORE];
+  assert.equal(await terminal.run(...ownerArgs), EXIT_CODES.done);
   assert.match(terminal.takeOutput(), /^owner: none yet/m);
 
   const owner = { id: "ledger-1", address: "127.0.0.1:9001" };
@@ -31,7 +31,7 @@
     formatTableKey("ledger"),
     serializeTable(createTable([owner], 7)),
   );
-  assert.equal(await terminal.run(...words), EXIT_CODES.done);
+  assert.equal(await terminal.run(...ownerArgs), EXIT_CODES.done);
   const output = terminal.takeOutput();
   assert.match(output, /^key: \d+, of the range 0 to 65535$/m);
   assert.match(output, /^owner: ledger-1 at 127\.0\.0\.1:9001, token 7$/m);
@@ -41,7 +41,7 @@
   );
 });
 
-test("makes credentials that differ and whose digest fits", async () => {
+test("creates distinct credentials with matching digests", async () => {
   const terminal = new FakeTerminal(new FakePlatform());
   await terminal.run("credential", "--json");
   await terminal.run("credential", "--json");
@@ -54,7 +54,7 @@
   assert.equal(hashCredential(first.credential), first.digest);
 });
 
-test("starts an instance from flags and variables and stops it", async () => {
+test("starts an instance from flags and environment variables and stops it", async () => {
   const terminal = new FakeTerminal(new FakePlatform());
   terminal.environment["LENTILSPUR_DATA_CENTRE"] = "Bole";
   terminal.environment["LENTILSPUR_INSTANCE_NAME"] = "bole-1";
@@ -68,7 +68,7 @@
   assert.equal(terminal.stopCount, 1);
 });
 
-test("starts nothing while a setting is at fault", async () => {
+test("starts no instance if a setting is invalid", async () => {
   const terminal = new FakeTerminal(new FakePlatform());
   const code = await terminal.run("serve", STORE, "--drain=3");
   assert.equal(code, EXIT_CODES.usage);
@@ -79,10 +79,10 @@
   assert.deepEqual(terminal.startedSettings, []);
 });
 
-test("explains a request and audits the lines around it", async () => {
-  // A caller complains about a request. The instances' lines are at hand, one
-  // file each; its id leads to what was decided, and the audit says whether
-  // anything was broken.
+test("explains a request and audits the log lines", async () => {
+  // Given the collected lines of a request whose response was lost, `explain`
+  // must find the request by its id, `audit` must find no broken promise, and
+  // `losses` must count the request under its reason.
   const terminal = new FakeTerminal(new FakePlatform());
   const file = join(makeDirectory(), "lines.log");
   const common = {
@@ -115,12 +115,15 @@
   };
   writeFileSync(
     file,
-    [send, final].map((one) => JSON.stringify(one)).join("\n"),
+    [send, final].map((line) => JSON.stringify(line)).join("\n"),
   );
   assert.equal(await terminal.run("explain", "r1", file), EXIT_CODES.done);
-  const story = terminal.takeOutput();
-  assert.match(story, /send 1 to t1, after 3 ms of waiting: unknown \(reset\)/);
-  assert.match(story, /It may have run/);
+  const explanation = terminal.takeOutput();
+  assert.match(
+    explanation,
+    /send 1 to t1, after 3 ms of waiting: unknown \(reset\)/,
+  );
+  assert.match(explanation, /It may have run/);
   assert.equal(await terminal.run("audit", file), EXIT_CODES.done);
   assert.match(terminal.takeOutput(), /no promise was broken/);
   assert.equal(await terminal.run("losses", file), EXIT_CODES.done);
--- a/packages/cli/src/operator_option.ts
+++ b/packages/cli/src/operator_option.ts
@@ -1,4 +1,7 @@
-/** Who answers for a change; kept in the log for good. */
+/**
+ * The `--operator` option: who is responsible for a change, as the store
+ * records it.
+ */
 import { extendType, option, string } from "cmd-ts";
 
 const OPERATOR_PATTERN = /^[A-Za-z][A-Za-z0-9._@-]{0,62}$/;
@@ -8,7 +11,7 @@
   from: (text): Promise<string> =>
     OPERATOR_PATTERN.test(text) ? Promise.resolve(text) : Promise.reject(
       new Error(
-        `"${text}" is no operator name, use up to 63 letters, digits and . _ @ - with a letter first`,
+        `"${text}" is not a valid operator name; use up to 63 letters, digits and . _ @ - and begin with a letter`,
       ),
     ),
 });
@@ -17,5 +20,6 @@
   long: "operator",
   env: "LENTILSPUR_OPERATOR",
   type: operatorType,
-  description: "Who answers for this change, as the history shows it",
+  description:
+    "Who is responsible for this change; lentilspur history shows the name",
 });
--- a/packages/cli/src/playground_test.ts
+++ b/packages/cli/src/playground_test.ts
@@ -17,7 +17,7 @@
     assert.equal(result.val.templates.length, 3);
   });
 
-  test(`the credentials that ${deployment} names fit their digests`, async () => {
+  test(`the example credentials of ${deployment} match their digests`, async () => {
     const directory = fileURLToPath(new URL(deployment, PLAYGROUND));
     const files = await readDeclarationFiles(directory);
     assert.ok(files.ok, String(files.val));
--- a/packages/cli/src/publish_report.ts
+++ b/packages/cli/src/publish_report.ts
@@ -1,19 +1,19 @@
-/** What an operator reads about the outcome of a publication. */
+/** Describes the outcome of a publication to the operator. */
 import { formatDeclarationFault } from "@lentilspur/declarations/declaration_fault";
 import type { PublicationNote } from "@lentilspur/declarations/publication";
 import { EXIT_CODES, type ExitCode } from "./exit_codes.ts";
 import { MAX_RECORD_BYTES, type PublishOutcome } from "./publisher.ts";
 
-/** What is known beside the outcome. */
+/** What `describeOutcome` needs besides the outcome. */
 export interface PublishContext {
   readonly notes: readonly PublicationNote[];
   readonly expectedVersion: number;
 }
 
-/** What became of it, then what to do next. */
+/** Describes the outcome, then what to do next. */
 export function describeOutcome(
   outcome: PublishOutcome,
-  circumstances: PublishContext,
+  context: PublishContext,
 ): readonly string[] {
   switch (outcome.kind) {
     case "accepted":
@@ -22,7 +22,7 @@
       ];
     case "unchanged":
       return [
-        `Version ${outcome.version}, which is in force, says the same already; nothing was published`,
+        `The declarations equal version ${outcome.version}, which is in force; nothing was published`,
       ];
     case "invalid":
       return [
@@ -30,34 +30,37 @@
         "Nothing was published; correct the faults above",
       ];
     case "superseded":
-      return describeSuperseded(outcome.version, circumstances);
+      return describeSuperseded(outcome.version, context);
     case "removal-not-allowed":
       return [
-        `Nothing was published: the directory lacks ${outcome.documents}, which are in force; add --allow-removals if they are to go`,
+        `Nothing was published: the directory lacks ${outcome.documents}, which are in force; add --allow-removals to remove them`,
       ];
     case "content-differs":
       return [
-        `Nothing was sent: the declarations, operator or version differ from those of ${outcome.publicationId}; restore them, or leave --resume out to publish anew`,
+        `Nothing was sent: the declarations, operator or version differ from those of ${outcome.publicationId}; restore them, or omit --resume to start a new publication`,
       ];
     case "no-longer-told":
       return [
-        `Too much has been published since to tell what became of ${outcome.publicationId}; compare with lentilspur diff`,
+        `Too much has been published since to find out whether ${outcome.publicationId} was accepted; compare with lentilspur diff`,
       ];
     case "too-large":
       return [
-        `Nothing was published: the declarations come to ${outcome.bytes} bytes, and the store takes ${MAX_RECORD_BYTES}; declare fewer routes or client accounts`,
+        `Nothing was published: the declarations take ${outcome.bytes} bytes, and the store accepts at most ${MAX_RECORD_BYTES}; declare fewer routes or client accounts`,
       ];
     case "not-appended":
       return [`Nothing was published: ${outcome.message}; try again later`];
     case "unknown":
       return [
         `UNKNOWN whether it was accepted: ${outcome.message}`,
-        `Find out and finish it by the same command with --resume ${outcome.publicationId}; that cannot publish twice`,
+        `Find out and finish the publication: run the same command with --resume ${outcome.publicationId}; that cannot publish twice`,
       ];
   }
 }
 
-/** Of an outcome by itself; `accepted` may still lag on some instance. */
+/**
+ * Returns the exit code of the outcome; an accepted version may not yet be in
+ * force on every instance.
+ */
 export function getExitCode(outcome: PublishOutcome): ExitCode {
   switch (outcome.kind) {
     case "accepted":
@@ -77,7 +80,10 @@
   }
 }
 
-/** A line for who and when, then a line for each changed document and field. */
+/**
+ * Returns a line with the operator and time, then one for each changed document
+ * and field.
+ */
 export function describeNote(note: PublicationNote): readonly string[] {
   return [
     `version ${note.version} by ${note.operator} on ${note.publishedAt} (${note.id})`,
@@ -94,7 +100,7 @@
   if (version < expectedVersion) {
     return [
       head,
-      "No such version has been published; take the version from lentilspur diff",
+      "The expected version has never been published; lentilspur diff prints the version in force",
     ];
   }
   const later = notes
@@ -105,11 +111,14 @@
   return [
     head,
     ...later,
-    "Take their changes into your files (lentilspur show prints them), look at lentilspur diff, and publish against the new version",
+    "Merge their changes into your files (lentilspur show prints them), check with lentilspur diff, and publish against the new version",
   ];
 }
 
-/** Lines of fields are indented; those of documents begin with their mark. */
+/**
+ * Lists the changed documents: their lines begin with `+`, `~` or `-`, those of
+ * fields are indented.
+ */
 function listDocuments(changes: readonly string[]): string {
   return changes.filter((line) => /^[+~-] /.test(line))
     .map((line) => line.slice(2)).join(", ");
--- a/packages/cli/src/publish_test.ts
+++ b/packages/cli/src/publish_test.ts
@@ -14,24 +14,28 @@
 const STORE = "--store=127.0.0.1:1";
 
 /**
- * Longer than any command goes on. The virtual clock runs while a command reads
- * its files in real time, which takes many of its steps on a busy machine.
+ * Longer than any command runs. The virtual clock advances while a command
+ * reads its files in real time, which takes many clock steps on a busy machine.
  */
 const DELIVERY_DELAY_MS = 600_000;
 
 /**
- * A link on which the first append arrives long after, and every further one is
- * lost: nothing is answered.
+ * Creates a store client that never receives a response to an append: the first
+ * append reaches the store after `DELIVERY_DELAY_MS`, every further one is
+ * lost.
  */
-function createUnresponsiveStore(link: Store, platform: FakePlatform): Store {
-  let tries = 0;
+function createUnresponsiveStore(
+  storeClient: Store,
+  platform: FakePlatform,
+): Store {
+  let attempts = 0;
   return {
-    ...link,
+    ...storeClient,
     append: async (request: AppendRequest) => {
-      tries++;
-      if (tries === 1) {
+      attempts++;
+      if (attempts === 1) {
         void platform.clock.sleep(DELIVERY_DELAY_MS).then(() =>
-          link.append(request)
+          storeClient.append(request)
         );
       }
       await platform.clock.sleep(1_000);
@@ -40,7 +44,7 @@
   };
 }
 
-test("publishes, shows the history and finds no difference after", async () => {
+test("after a publication, the history shows it and diff finds no difference", async () => {
   const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
   const code = await terminal.publish(directory, "--expect-version=0");
@@ -55,10 +59,10 @@
   assert.match(terminal.takeOutput(), /No difference from version 1/);
 });
 
-test("tells the slower of two operators who was first and with what", async () => {
-  // Two operators start from version 1. Both publish; the second is refused,
-  // nothing of the second's reaches the store, and the second reads the name of
-  // the first, the version now in force and the documents that changed.
+test("a refused operator sees who published first and what changed", async () => {
+  // Two operators publish against version 1. The second publication must be
+  // refused without writing to the store, and the message must name the other
+  // operator, the version now in force and the changed documents.
   const platform = new FakePlatform();
   const [first, second] = [
     new FakeTerminal(platform),
@@ -81,20 +85,20 @@
   );
 });
 
-test("loses cleanly when the other record reaches the store first", async () => {
-  // Both read version 0 before either appends. The other's append comes first;
-  // this one finds that the partition does not end where it has read to.
+test("refuses a publication whose append is preceded by another one", async () => {
+  // Both publishers read version 0 before either appends. The other append
+  // comes first, so this one fails because the partition has a new end offset.
   const platform = new FakePlatform();
   const [other, terminal] = [
     new FakeTerminal(platform),
     new FakeTerminal(platform),
   ];
-  const { storeClient: link } = terminal;
+  const { storeClient } = terminal;
   terminal.storeClient = {
-    ...link,
+    ...storeClient,
     append: async (request) => {
       await other.publish(makeDirectory(32), "--expect-version=0");
-      return await link.append(request);
+      return await storeClient.append(request);
     },
   };
   const code = await terminal.publish(makeDirectory(), "--expect-version=0");
@@ -103,9 +107,9 @@
   assert.match(terminal.takeOutput(), /version 1 by neema/);
 });
 
-test("finds its record when only the answer to the append was lost", async () => {
-  // The store takes the record and the connection breaks before the answer. An
-  // operator who is told "failed" would publish again; told is the truth.
+test("finds its record when only the response to the append is lost", async () => {
+  // The store appends the record and the connection breaks before the response.
+  // Reporting a failure would make the operator publish again.
   const platform = new FakePlatform();
   const terminal = new FakeTerminal(platform);
   platform.store.setFaultMode("terminal", "losing-answers");
@@ -117,22 +121,22 @@
   assert.equal(platform.recordCount, 1);
 });
 
-test("an append that takes effect after its repetition changes nothing", async () => {
-  // The first append hangs in the platform, its repetition is accepted, and
-  // the first arrives after all: one version, one line in the history.
+test("an append that arrives after its retry changes nothing", async () => {
+  // The first append is delayed and its retry is accepted. When the first
+  // append arrives later, it must not add a second version.
   const platform = new FakePlatform();
   const terminal = new FakeTerminal(platform);
-  const { storeClient: link } = terminal;
-  let tries = 0;
+  const { storeClient } = terminal;
+  let attempts = 0;
   terminal.storeClient = {
-    ...link,
+    ...storeClient,
     append: (request) => {
-      tries++;
-      if (tries > 1) {
-        return link.append(request);
+      attempts++;
+      if (attempts > 1) {
+        return storeClient.append(request);
       }
       void platform.clock.sleep(DELIVERY_DELAY_MS).then(() =>
-        link.append(request)
+        storeClient.append(request)
       );
       return Promise.resolve(
         Err({ kind: "unavailable", message: "No answer" }),
@@ -145,25 +149,28 @@
   assert.equal(platform.recordCount, 1);
 });
 
-/** Publishes into a store that goes silent, and returns the id to resume. */
+/** Publishes to a store that does not respond and returns the id to resume. */
 async function publishWithoutResponse(
   terminal: FakeTerminal,
   directory: string,
 ): Promise<string> {
-  const { storeClient: link } = terminal;
-  terminal.storeClient = createUnresponsiveStore(link, terminal.platform);
+  const { storeClient } = terminal;
+  terminal.storeClient = createUnresponsiveStore(
+    storeClient,
+    terminal.platform,
+  );
   const code = await terminal.publish(directory, "--expect-version=0");
   assert.equal(code, EXIT_CODES.unknown);
   const output = terminal.takeOutput();
   assert.match(output, /^UNKNOWN whether it was accepted/m);
-  terminal.storeClient = link;
+  terminal.storeClient = storeClient;
   return /--resume (\S+);/.exec(output)?.[1] ?? "";
 }
 
-test("says unknown during an outage, and resumes to one publication", async () => {
-  // The store stops answering in the middle of a publication. Whether it took
-  // the record cannot be known, so neither "accepted" nor "failed" is said.
-  // After the outage the operator resumes; the record had arrived meanwhile.
+test("reports unknown during an outage and resumes without publishing twice", async () => {
+  // The store stops responding during a publication, so the command cannot know
+  // whether the record was appended, and must report neither outcome.
+  // The record arrives during the outage; resuming must not append it again.
   const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
   const id = await publishWithoutResponse(terminal, directory);
@@ -174,7 +181,7 @@
   assert.equal(terminal.platform.recordCount, 1);
 });
 
-test("resumes by appending anew where nothing had arrived", async () => {
+test("resumes by appending again if no record has arrived", async () => {
   const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
   const id = await publishWithoutResponse(terminal, directory);
@@ -186,9 +193,9 @@
   assert.match(terminal.takeOutput(), /No difference from version 1/);
 });
 
-test("refuses to resume with other content than the first attempt", async () => {
-  // The files changed while the outcome was unknown. Sent under the same id,
-  // either content could win; so nothing is sent.
+test("refuses to resume with content that differs from the first attempt's", async () => {
+  // The files change while the outcome is unknown. If both contents were sent
+  // under one id, either could be accepted, so nothing must be sent.
   const terminal = new FakeTerminal(new FakePlatform());
   const id = await publishWithoutResponse(terminal, makeDirectory());
   const resume = ["--expect-version=0", `--resume=${id}`];
@@ -197,7 +204,7 @@
   assert.equal(terminal.platform.recordCount, 0);
 });
 
-test("tells a lost publication as refused once another took its version", async () => {
+test("reports a lost publication as refused once another has its version", async () => {
   const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
   const id = await publishWithoutResponse(terminal, directory);
@@ -209,10 +216,9 @@
   assert.match(terminal.takeOutput(), /but version 1 is in force/);
 });
 
-test("says so where later publications have pushed the note out", async () => {
-  // The operator resumes after a holiday. Twenty-one versions have come since,
-  // and only the last notes are kept: the lost publication may be among those
-  // that are not told any more.
+test("reports unknown when later publications have displaced the note", async () => {
+  // The operator resumes after twenty-one later versions. The store keeps only
+  // the last notes, so the lost publication may be among those without a note.
   const terminal = new FakeTerminal(new FakePlatform());
   const directory = makeDirectory();
   const id = await publishWithoutResponse(terminal, directory);
@@ -229,27 +235,27 @@
   assert.match(terminal.takeOutput(), /Too much has been published since/);
 });
 
-test("says that nothing was published when the store cannot be reached", async () => {
+test("reports that nothing was published when the store cannot be reached", async () => {
   const platform = new FakePlatform();
   const terminal = new FakeTerminal(platform);
-  const { storeClient: link } = terminal;
+  const { storeClient } = terminal;
   terminal.storeClient = {
-    ...link,
+    ...storeClient,
     append: () =>
       Promise.resolve(Err({ kind: "refused", message: "no connection" })),
   };
   const code = await terminal.publish(makeDirectory(), "--expect-version=0");
   assert.equal(code, EXIT_CODES.unavailable);
-  terminal.storeClient = link;
+  terminal.storeClient = storeClient;
   platform.store.setFaultMode("terminal", "silent");
   const again = await terminal.publish(makeDirectory(), "--expect-version=0");
   assert.equal(again, EXIT_CODES.unavailable);
   assert.equal(platform.recordCount, 0);
 });
 
-test("removes documents only when asked to", async () => {
-  // A file is missing from a checkout. Publishing it would lock a client
-  // account out, so the removal is named and refused unless asked for.
+test("removes documents only with --allow-removals", async () => {
+  // A file is missing from a checkout, and publishing would remove a client
+  // account, whose callers would then be refused. The refusal must name it.
   const terminal = new FakeTerminal(new FakePlatform());
   await terminal.publish(makeDirectory(64, "nile"), "--expect-version=0");
   const renamed = makeDirectory(64, "awash");
@@ -260,7 +266,7 @@
   assert.equal(await terminal.publish(renamed, ...more), EXIT_CODES.done);
 });
 
-test("names the instances that lag or do not answer", async () => {
+test("lists the instances that are behind or do not respond", async () => {
   const platform = new FakePlatform();
   ["a", "b", "c"].forEach((id) => platform.addMember(id));
   const terminal = new FakeTerminal(platform);
@@ -280,7 +286,7 @@
   assert.match(shown, /^b .*ready$/m);
 });
 
-test("asks named instances while the store is down", async () => {
+test("queries the given instances while the store is down", async () => {
   const terminal = new FakeTerminal(new FakePlatform());
   terminal.platform.store.setFaultMode("terminal", "silent");
   terminal.versions.set("a", 4).set("b", 3);
@@ -291,8 +297,8 @@
 });
 
 test("does not wait for an instance whose process has ended", async () => {
-  // An instance was killed and its record stays. Nothing listens at its
-  // address, so it has no version that could lag.
+  // An instance is killed and its member record stays in the store. Its address
+  // refuses connections, so no version can come into force there.
   const platform = new FakePlatform();
   platform.addMember("a");
   platform.addMember("b");
@@ -304,7 +310,7 @@
   assert.match(terminal.takeOutput(), /In force on 1 of 1 instances/);
 });
 
-test("shows what is in force in a form that changes nothing", async () => {
+test("the output of show equals the declarations in force", async () => {
   const terminal = new FakeTerminal(new FakePlatform());
   await terminal.publish(makeDirectory(), "--expect-version=0");
   terminal.takeOutput();
@@ -315,10 +321,10 @@
   assert.match(terminal.takeOutput(), /^No difference from version 1/);
 });
 
-test("tells wrong usage apart from a refusal", async () => {
+test("wrong usage and a refusal have different exit codes", async () => {
   const terminal = new FakeTerminal(new FakePlatform());
   const code = await terminal.publish(makeDirectory(), "--expect-version=one");
   assert.equal(code, EXIT_CODES.usage);
-  assert.match(terminal.takeOutput(), /"one" is no version/);
+  assert.match(terminal.takeOutput(), /"one" is not a version number/);
   assert.equal(await terminal.run("publish", "--help"), EXIT_CODES.done);
 });
--- a/packages/cli/src/publisher.ts
+++ b/packages/cli/src/publisher.ts
@@ -1,7 +1,7 @@
 /**
- * One publication from start to end: check everything, write against the
- * expected version, find out what became of it. Every way in which it can end
- * is told apart, since "it probably worked" is no basis for the next step.
+ * Publishes a configuration: checks the declarations, appends the publication
+ * against the expected version, and determines the outcome. Each outcome is
+ * reported separately, because the operator's next step depends on it.
  */
 import { createHash } from "node:crypto";
 import { describeChanges } from "@lentilspur/declarations/change_text";
@@ -27,7 +27,7 @@
   readonly operator: string;
   readonly publishedAt: string;
   readonly allowRemovals: boolean;
-  /** Appended to the id of a new publication; for people and uniqueness. */
+  /** Part of the id of a new publication: makes it unique and readable. */
   readonly nonce: string;
   /** Id of an earlier publication whose outcome stayed unknown. */
   readonly resume?: string;
@@ -37,12 +37,12 @@
 export type PublishOutcome =
   | { readonly kind: "invalid"; readonly faults: readonly DeclarationFault[] }
   | { readonly kind: "unchanged"; readonly version: number }
-  /** Somebody else's publication came first. */
+  /** Another publication was accepted first. */
   | { readonly kind: "superseded"; readonly version: number }
   | { readonly kind: "removal-not-allowed"; readonly documents: string }
-  /** `--resume` with other content than the first attempt had. */
+  /** `--resume` with content that differs from the first attempt's. */
   | { readonly kind: "content-differs"; readonly publicationId: string }
-  /** The note that could tell has made room for later ones. */
+  /** Later publications have displaced the note that would show the outcome. */
   | { readonly kind: "no-longer-told"; readonly publicationId: string }
   | { readonly kind: "too-large"; readonly bytes: number }
   | { readonly kind: "not-appended"; readonly message: string }
@@ -57,22 +57,22 @@
     readonly publicationId: string;
   };
 
-/** What the platform's store takes as one record. */
+/** The largest record that the platform's store accepts. */
 export const MAX_RECORD_BYTES = 262_144;
-/** Between two tries while the store does not answer. */
+/** Delay between attempts while the store does not respond. */
 const RETRY_DELAY_MS = 250;
 const ID_SEPARATOR = "/";
 const DIGEST_CHARACTERS = 16;
 
-/** Publishes against a session that has just been read. */
+/** Publishes against the publication that the session has just read. */
 export async function publishConfiguration(
   session: StoreSession,
   request: PublishRequest,
   clock: Clock,
 ): Promise<PublishOutcome> {
-  const settled = findEarlierOutcome(session.publication, request);
-  if (settled !== undefined) {
-    return settled;
+  const earlierOutcome = findEarlierOutcome(session.publication, request);
+  if (earlierOutcome !== undefined) {
+    return earlierOutcome;
   }
   const { version } = session.publication;
   if (version !== request.expectedVersion) {
@@ -84,7 +84,10 @@
     : planned;
 }
 
-/** An earlier attempt is settled once its note, or another's version, is read. */
+/**
+ * Finds the outcome of an earlier attempt: accepted if its note is in the
+ * store, superseded if the version is another publication's.
+ */
 function findEarlierOutcome(
   publication: Publication,
   { resume, expectedVersion }: PublishRequest,
@@ -92,11 +95,11 @@
   if (resume === undefined) {
     return undefined;
   }
-  const found = publication.notes.find(({ id }) => id === resume);
-  if (found !== undefined) {
+  const note = publication.notes.find(({ id }) => id === resume);
+  if (note !== undefined) {
     return {
       kind: "accepted",
-      version: found.version,
+      version: note.version,
       publicationId: resume,
     };
   }
@@ -117,17 +120,17 @@
 }
 
 function planPublication(
-  before: Publication,
+  current: Publication,
   request: PublishRequest,
 ): PlannedPublication | PublishOutcome {
-  const inForce = before.configuration;
+  const inForce = current.configuration;
   const validated = validateDeclarations(request.files, inForce);
   if (!validated.ok) {
     return { kind: "invalid", faults: validated.val };
   }
   const changes = diffConfigurations(inForce, validated.val);
   if (changes.length === 0) {
-    return { kind: "unchanged", version: before.version };
+    return { kind: "unchanged", version: current.version };
   }
   const refusal = checkRemovals(changes, request.allowRemovals);
   if (refusal !== undefined) {
@@ -137,7 +140,7 @@
   if (request.resume !== undefined && id !== request.resume) {
     return { kind: "content-differs", publicationId: request.resume };
   }
-  const publication = createPublication(before, validated.val, {
+  const publication = createPublication(current, validated.val, {
     id,
     operator: request.operator,
     publishedAt: request.publishedAt,
@@ -152,8 +155,8 @@
 }
 
 /**
- * A directory that lacks a file, or the wrong directory, reads as an order to
- * remove what it lacks; so removals need to be asked for.
+ * Refuses removals unless they are allowed: a missing file or the wrong
+ * directory would otherwise remove documents by accident.
  */
 function checkRemovals(
   changes: readonly DocumentChange[],
@@ -167,7 +170,10 @@
   return { kind: "removal-not-allowed", documents: documents.join(", ") };
 }
 
-/** Holds a digest of the content, so that a resume cannot change it. */
+/**
+ * The id contains a digest of the content, so that `--resume` cannot publish
+ * other content under it.
+ */
 function formatId(
   { resume, nonce, expectedVersion, operator }: PublishRequest,
   configuration: Configuration,
@@ -175,13 +181,14 @@
   const content = JSON.stringify({ expectedVersion, operator, configuration });
   const digest = createHash("sha256").update(content)
     .digest("hex").slice(0, DIGEST_CHARACTERS);
-  const part = resume?.split(ID_SEPARATOR)[1] ?? nonce;
-  return ["publication", part, digest].join(ID_SEPARATOR);
+  const uniquePart = resume?.split(ID_SEPARATOR)[1] ?? nonce;
+  return ["publication", uniquePart, digest].join(ID_SEPARATOR);
 }
 
 /**
- * Appends until it is known what came of it. Repeating is safe: all tries have
- * one condition, so at most one of them takes effect, also of those that arrive
+ * Appends a publication, with retries, until its outcome is known or the
+ * timeout expires. Retrying is safe: every attempt is conditional on the end
+ * offset of the partition, so at most one takes effect, even if some arrive
  * late.
  */
 class PublicationAppender {
@@ -189,7 +196,7 @@
   readonly #planned: PlannedPublication;
   readonly #clock: Clock;
   readonly #deadlineMs: number;
-  /** Whether a try may have taken effect, or may yet. */
+  /** Whether an attempt may have taken effect or may still take effect. */
   #mayBeAppended: boolean;
 
   constructor(
@@ -215,9 +222,9 @@
         return { kind: "accepted", version, publicationId };
       }
       if (appended.val.kind === "conflict") {
-        const winner = await this.#resolveConflict();
-        if (winner !== undefined) {
-          return winner;
+        const outcome = await this.#resolveConflict();
+        if (outcome !== undefined) {
+          return outcome;
         }
         continue;
       }
@@ -233,8 +240,9 @@
   }
 
   /**
-   * The partition has moved on: by an earlier try of this, or by another.
-   * Undefined where no publication was written since, but an evacuation.
+   * Finds out what another record in the partition means for this publication:
+   * an earlier attempt was accepted, or another publication was. Returns
+   * undefined if only an evacuation was written, so that the append is retried.
    */
   async #resolveConflict(): Promise<PublishOutcome | undefined> {
     const { publicationId } = this.#planned;
@@ -242,9 +250,9 @@
       const read = await this.#session.readPublications();
       if (read.ok) {
         const { version, notes } = this.#session.publication;
-        const found = notes.find(({ id }) => id === publicationId);
-        if (found !== undefined) {
-          return { kind: "accepted", version: found.version, publicationId };
+        const note = notes.find(({ id }) => id === publicationId);
+        if (note !== undefined) {
+          return { kind: "accepted", version: note.version, publicationId };
         }
         return version >= this.#planned.version
           ? { kind: "superseded", version }
--- a/packages/cli/src/setting_schemas.ts
+++ b/packages/cli/src/setting_schemas.ts
@@ -1,4 +1,4 @@
-/** Schemas of settings, which all arrive as text. */
+/** Schemas that parse settings from text. */
 import { isIP } from "node:net";
 import { z } from "zod";
 
@@ -9,24 +9,24 @@
 
 const LABEL_PATTERN = /^[A-Za-z][A-Za-z0-9-]{0,31}$/;
 
-/** Names of data centres and instances, which stand in ids and metrics. */
+/** Names of data centres and instances, which appear in ids and metrics. */
 export const labelSchema = createTextSchema(
   (text) => LABEL_PATTERN.test(text) ? text : undefined,
   "1 to 32 letters, digits and -, beginning with a letter",
 );
 
-/** Processes reach each other by IP numbers; names would need a resolver. */
+/** Processes connect by IP address; host names would need a resolver. */
 export const hostSchema = createTextSchema(
   (text) => isIP(text) === 0 ? undefined : text,
-  "an IP number such as 10.0.3.7",
+  "an IP address such as 10.0.3.7",
 );
 
 export const portSchema = createCountSchema({ min: 0, max: 65_535 });
 
-/** Where a process listens. */
+/** Address and port on which a process listens. */
 export const addressSchema = createTextSchema(
   (text) => isAddress(text) ? text : undefined,
-  "an IP number and a port such as 10.0.0.5:7000",
+  "an IP address and a port such as 10.0.0.5:7000",
 );
 
 export function createCountSchema({ min, max }: Bounds) {
--- a/packages/cli/src/setting_table.ts
+++ b/packages/cli/src/setting_table.ts
@@ -1,6 +1,6 @@
 /**
- * Every setting of an instance: its flag, what it does, what is allowed and
- * what holds without it. `--help` and docs/operating/settings.md show it.
+ * The settings of an instance: name, description, allowed values and default of
+ * each. `--help` and docs/operating/settings.md list them.
  */
 import { createDurationSchema } from "@lentilspur/declarations/field_schemas";
 import { formatDuration } from "@lentilspur/declarations/units";
@@ -17,7 +17,7 @@
 export interface Setting<Value> {
   readonly schema: z.ZodType<Value, string>;
   readonly description: string;
-  /** What holds where it is left out; absent where it must be given. */
+  /** The default, as text; absent for a required setting. */
   readonly fallback?: string;
 }
 
@@ -130,12 +130,15 @@
   return Object.keys(SETTINGS) as SettingName[];
 }
 
-/** `peerPort` as `peer-port`. */
+/** Returns the flag of a setting: `peer-port` for `peerPort`. */
 export function getFlagName(name: SettingName): string {
   return name.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
 }
 
-/** `peerPort` as `LENTILSPUR_PEER_PORT`. */
+/**
+ * Returns the environment variable of a setting: `LENTILSPUR_PEER_PORT` for
+ * `peerPort`.
+ */
 export function getVariableName(name: SettingName): string {
   return `LENTILSPUR_${getFlagName(name).toUpperCase().replaceAll("-", "_")}`;
 }
--- a/packages/cli/src/setting_values.ts
+++ b/packages/cli/src/setting_values.ts
@@ -1,7 +1,7 @@
 /**
- * From flags and environment to the settings of one instance, or to all that
- * is wrong with them at once: a person who starts a process should not have to
- * start it once for each fault.
+ * Resolves flags and environment variables to the settings of one instance.
+ * Reports all faults at once, so that an operator need not restart the process
+ * for each of them.
  */
 import type { ResolvedGatewaySettings } from "@lentilspur/gateway/gateway_settings";
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
@@ -17,30 +17,30 @@
 } from "./setting_table.ts";
 
 export interface RawSettings {
-  /** Given flags; they go before the environment. */
+  /** Values of flags, which take precedence over the environment. */
   readonly flags: Readonly<Partial<Record<SettingName, string | undefined>>>;
   readonly environment: Readonly<Record<string, string | undefined>>;
 }
 
-/** Variables that other commands read. */
+/** Environment variables that other commands read. */
 const OTHER_VARIABLES: readonly string[] = ["LENTILSPUR_OPERATOR"];
 
-/** What one instance that goes by declarations is started with. */
+/** The settings that `lentilspur serve` starts an instance with. */
 export interface ServeSettings {
   readonly gateway: ResolvedGatewaySettings;
   readonly storeAddress: string;
-  /** Partitions that a topic has. */
+  /** Number of partitions of each store topic. */
   readonly topicParts: number;
 }
 
-/** The failures are sentences. */
+/** On failure, returns a sentence for each fault. */
 export function resolveSettings(
-  texts: RawSettings,
+  rawSettings: RawSettings,
 ): Result<ServeSettings, readonly string[]> {
-  const faults = [...listUnknownVariables(texts.environment)];
+  const faults = [...listUnknownVariables(rawSettings.environment)];
   const values = new Map<SettingName, unknown>();
   for (const name of listSettingNames()) {
-    const resolved = resolveSetting(name, texts);
+    const resolved = resolveSetting(name, rawSettings);
     if (resolved.ok) {
       values.set(name, resolved.val);
     } else {
@@ -62,24 +62,27 @@
   const setting: Setting<unknown> = SETTINGS[name];
   const flag = `--${getFlagName(name)}`;
   const variable = getVariableName(name);
-  const [source, text] = flags[name] === undefined
+  const [source, given] = flags[name] === undefined
     ? [variable, environment[variable]]
     : [flag, flags[name]];
-  const wanted = text ?? setting.fallback;
-  if (wanted === undefined) {
+  const text = given ?? setting.fallback;
+  if (text === undefined) {
     return Err(
       `${flag} or ${variable} is missing: ${setting.description}`,
     );
   }
-  const parsed = setting.schema.safeParse(wanted);
+  const parsed = setting.schema.safeParse(text);
   if (parsed.success) {
     return Ok(parsed.data);
   }
   const allowed = parsed.error.issues[0]?.message ?? "another value";
-  return Err(`${source} is ${JSON.stringify(wanted)}; allowed is ${allowed}`);
+  return Err(`${source} is ${JSON.stringify(text)}; expected ${allowed}`);
 }
 
-/** A misspelt variable would otherwise leave its default in force silently. */
+/**
+ * Reports misspelt variables, whose settings would otherwise keep their
+ * defaults without notice.
+ */
 function listUnknownVariables(
   environment: RawSettings["environment"],
 ): readonly string[] {
@@ -91,11 +94,11 @@
     .filter((variable) => variable.startsWith("LENTILSPUR_"))
     .filter((variable) => !known.includes(variable))
     .map((variable) =>
-      `${variable} is no setting; lentilspur serve --help lists them`
+      `${variable} is not a setting; lentilspur serve --help lists all settings`
     );
 }
 
-/** Relations without which a stop fails in ordinary operation. */
+/** Checks that requests in progress can finish before the process is killed. */
 function listTimingFaults(
   values: ReadonlyMap<SettingName, unknown>,
 ): readonly string[] {
--- a/packages/cli/src/setting_values_test.ts
+++ b/packages/cli/src/setting_values_test.ts
@@ -16,7 +16,7 @@
   store: "127.0.0.1:7000",
 };
 
-test("defaults are those that the table states", () => {
+test("omitted settings have the documented defaults", () => {
   const result = resolveSettings({ flags: REQUIRED, environment: {} });
   assert.ok(result.ok, String(result.val));
   const { gateway, storeAddress, topicParts } = result.val;
@@ -31,7 +31,7 @@
   assert.deepEqual([storeAddress, topicParts], ["127.0.0.1:7000", 8]);
 });
 
-test("a flag goes before its environment variable", () => {
+test("a flag takes precedence over its environment variable", () => {
   const environment = { LENTILSPUR_DRAIN: "4s", LENTILSPUR_PORT: "81" };
   const flags = { ...REQUIRED, drain: "3s" };
   const result = resolveSettings({ flags, environment });
@@ -40,9 +40,10 @@
   assert.equal(result.val.gateway.requestPort, 81);
 });
 
-test("tells all faults at once, each with its source", () => {
-  // Somebody writes a unit file by hand: one required setting is missing, one
-  // lacks its unit, one name is misspelt, and one leaves no time to stop in.
+test("reports all faults at once, each with its source", () => {
+  // The faults: a missing required setting, a duration without a unit, a
+  // misspelt variable, a host that is not an IP address, and a grace period
+  // that is too short.
   const result = resolveSettings({
     flags: { dataCentre: "Bole", instanceName: "a", gracePeriod: "1s" },
     environment: {
@@ -62,7 +63,7 @@
   ]);
 });
 
-test("the operators' page lists every setting as it is", () => {
+test("docs/operating/settings.md lists every setting as in the table", () => {
   const page = readFileSync(
     new URL("../../../docs/operating/settings.md", import.meta.url),
     "utf8",
--- a/packages/cli/src/store_options.ts
+++ b/packages/cli/src/store_options.ts
@@ -1,4 +1,4 @@
-/** Options that every command shares which reads or writes the store. */
+/** Options shared by the commands that read or write the store. */
 import { formatDuration, parseDuration } from "@lentilspur/declarations/units";
 import { extendType, option, optional, string } from "cmd-ts";
 import type { CommandContext } from "./command_context.ts";
@@ -19,7 +19,7 @@
 const STORE_OPTION = {
   long: "store",
   env: "LENTILSPUR_STORE",
-  description: "The platform's store, such as 127.0.0.1:7000",
+  description: "Address of the platform's store, such as 127.0.0.1:7000",
 };
 
 export const storeOption = option({ ...STORE_OPTION, type: addressType });
@@ -29,7 +29,7 @@
   type: optional(addressType),
 });
 
-/** A duration with its unit, such as `10s`; milliseconds inside. */
+/** Parses a duration with its unit, such as `10s`, to milliseconds. */
 const durationType = extendType(string, {
   displayName: "duration",
   description: "a whole number with ms, s, min or h",
@@ -37,13 +37,14 @@
     const ms = parseDuration(text);
     return ms === undefined
       ? Promise.reject(
-        new Error(`"${text}" is no duration, write it such as 500ms or 10s`),
+        new Error(
+          `"${text}" is not a duration; use a whole number and a unit, such as 500ms or 10s`,
+        ),
       )
       : Promise.resolve(ms);
   },
 });
 
-/** Makes an option for a duration with a default. */
 export function createDurationOption(
   long: string,
   description: string,
@@ -52,17 +53,19 @@
   return option({
     long,
     type: durationType,
-    description: `${description} (${formatDuration(defaultMs)} if left out)`,
+    description: `${description} (default: ${formatDuration(defaultMs)})`,
     defaultValue: () => defaultMs,
     defaultValueIsSerializable: false,
   });
 }
 
-/** Reads what is in force, lets `act` work on it, and closes the store. */
+/**
+ * Opens the store, reads what is in force, calls `action` and closes the store.
+ */
 export async function runWithStore(
   context: CommandContext,
   address: string,
-  act: (session: StoreSession) => Promise<ExitCode>,
+  action: (session: StoreSession) => Promise<ExitCode>,
 ): Promise<ExitCode> {
   const store = context.openStore(address);
   try {
@@ -72,7 +75,7 @@
       context.printError(describeStoreFailure(read.val));
       return EXIT_CODES.unavailable;
     }
-    return await act(session);
+    return await action(session);
   } finally {
     store.close();
   }
--- a/packages/cli/src/store_session.ts
+++ b/packages/cli/src/store_session.ts
@@ -1,4 +1,7 @@
-/** What a command has read of the store: the publication in force, and more. */
+/**
+ * A command's access to the store: reads and appends publications and
+ * evacuations, and reads targets, members and owners.
+ */
 import {
   EMPTY_PUBLICATION,
   parsePublication,
@@ -22,7 +25,7 @@
 import { decodeTarget } from "@lentilspur/platform/target_format";
 import type { Store, StoreFailure, StoreRecord } from "@lentilspur/ports/store";
 
-/** A failure of the store, or a record that cannot be read. */
+/** A failure of the store, or a record that cannot be parsed. */
 export type SessionFailure =
   | StoreFailure
   | { readonly kind: "unreadable"; readonly message: string };
@@ -37,12 +40,12 @@
     this.#store = store;
   }
 
-  /** In force as of the last read. */
+  /** The publication in force at the last read. */
   get publication(): Publication {
     return this.#publication;
   }
 
-  /** Data centres that get no new work, as of the last read. */
+  /** Data centres that were evacuated at the last read. */
   get evacuated(): readonly string[] {
     return this.#evacuated;
   }
@@ -68,7 +71,7 @@
     return Ok(undefined);
   }
 
-  /** Appends only if nothing was written since the last read. */
+  /** Appends a publication if nothing was written since the last read. */
   appendPublication(value: string): Promise<Result<number, StoreFailure>> {
     return this.#store.append({
       partition: PUBLISHED_CONFIGURATION,
@@ -78,7 +81,9 @@
     });
   }
 
-  /** Evacuates a data centre, with a note of who did; `null` restores it. */
+  /**
+   * Evacuates a data centre and records who did; a note of `null` restores it.
+   */
   appendEvacuation(
     dataCentre: string,
     note: { readonly operator: string; readonly at: string } | null,
@@ -90,7 +95,7 @@
     });
   }
 
-  /** Data centres in which targets stand. */
+  /** Lists the data centres that have targets. */
   async listDataCentres(): Promise<Result<readonly string[], StoreFailure>> {
     const read = await this.#store.readNewest(TARGETS_PARTITION);
     if (!read.ok) {
@@ -103,7 +108,10 @@
     return Ok([...new Set(names)].toSorted());
   }
 
-  /** Instances that have said where they are; some may be gone. */
+  /**
+   * Lists the instances that have a member record; the processes of some may
+   * have ended.
+   */
   async listMembers(): Promise<Result<readonly Member[], StoreFailure>> {
     const read = await this.#store.readNewest(MEMBERS_PARTITION);
     if (!read.ok) {
@@ -116,7 +124,10 @@
     );
   }
 
-  /** The range that holds a key; undefined while nobody owns the service's. */
+  /**
+   * Finds the range that contains a key; undefined while the service's keys
+   * have no owners.
+   */
   async findOwner(
     options: {
       readonly service: string;
@@ -124,8 +135,8 @@
       readonly partitionCount: number;
     },
   ): Promise<Result<OwnedRange | undefined, SessionFailure>> {
-    const { service, key, partitionCount: parts } = options;
-    const part = choosePartition(service, parts);
+    const { service, key, partitionCount } = options;
+    const part = choosePartition(service, partitionCount);
     const read = await this.#store.readNewest({ topic: OWNERS_TOPIC, part });
     if (!read.ok) {
       return Err(read.val);
@@ -144,7 +155,7 @@
 export function describeStoreFailure(failure: SessionFailure): string {
   switch (failure.kind) {
     case "conflict":
-      return `Somebody else wrote first; the partition ends at ${failure.end}`;
+      return `Another record was written first; the partition now ends at offset ${failure.end}`;
     case "expired":
       return "The records asked for have expired; try again";
     case "refused":
--- a/packages/cli/src/testing/fake_terminal.ts
+++ b/packages/cli/src/testing/fake_terminal.ts
@@ -1,4 +1,4 @@
-/** A platform in memory and terminals beside it, for the tests of commands. */
+/** An in-memory platform and terminals that run commands on it, for tests. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -18,18 +18,18 @@
 import { runCommandLine } from "../main.ts";
 import type { ServeSettings } from "../setting_values.ts";
 
-/** How far the clock moves at a time while a command runs. */
+/** How far the clock advances at a time while a command runs. */
 const CLOCK_STEP_MS = 50;
 
 const STOP_AFTER_MS = 1_000;
 const STATUS_PORT = 1;
 
-/** What all terminals and instances share. */
+/** The clock and the store that all terminals and instances share. */
 export class FakePlatform {
   readonly clock = new VirtualClock();
   readonly store = new FakeStore(this.clock, 8);
 
-  /** Publications that were appended. */
+  /** Number of records in the partition of publications. */
   get recordCount(): number {
     return this.store.listRecords(PUBLISHED_CONFIGURATION).length;
   }
@@ -61,19 +61,22 @@
   }
 }
 
-/** One operator's terminal, with a connection to the store of its own. */
+/** Runs commands as one operator, with its own client of the store. */
 export class FakeTerminal {
   readonly platform: FakePlatform;
-  /** Replaced by tests that play what happens on the way. */
+  /** Tests replace it to inject faults between the command and the store. */
   storeClient: Store;
-  /** What each instance answers when asked for its version; others are silent. */
+  /**
+   * The version that each instance reports; instances without one do not
+   * respond.
+   */
   readonly versions = new Map<string, number>();
-  /** Data centres that each instance says it sends nothing to. */
+  /** The evacuated data centres that each instance reports. */
   evacuated: readonly string[] = [];
   /** Instances whose process has ended. */
   readonly stoppedInstances = new Set<string>();
   readonly environment: Record<string, string> = {};
-  /** Settings of the instances that were started here. */
+  /** Settings of the instances that `serve` started. */
   readonly startedSettings: ServeSettings[] = [];
   stopCount = 0;
   readonly #lines: string[] = [];
@@ -83,10 +86,13 @@
     this.storeClient = platform.store.createClient(name);
   }
 
-  /** Returns the exit code; the output is in `takeOutput`. */
-  async run(...words: readonly string[]): Promise<number> {
+  /**
+   * Runs a command and returns its exit code; `takeOutput` returns what it
+   * printed.
+   */
+  async run(...args: readonly string[]): Promise<number> {
     let isDone = false;
-    const running = runCommandLine(words, this.#createContext())
+    const running = runCommandLine(args, this.#createContext())
       .finally(() => isDone = true);
     while (!isDone) {
       await this.platform.clock.advance(CLOCK_STEP_MS);
@@ -94,13 +100,13 @@
     return await running;
   }
 
-  publish(directory: string, ...more: readonly string[]): Promise<number> {
+  publish(directory: string, ...options: readonly string[]): Promise<number> {
     return this.run(
       "publish",
       directory,
       "--store=127.0.0.1:1",
       "--operator=neema",
-      ...more,
+      ...options,
     );
   }
 
@@ -158,7 +164,10 @@
   directories.forEach((directory) => rmSync(directory, { recursive: true }));
 });
 
-/** A directory with one template whose limit is given, and one account. */
+/**
+ * Creates a directory that declares one template, with the given queue limit,
+ * and one client account.
+ */
 export function makeDirectory(maxQueued = 64, accountName = "nile"): string {
   const directory = mkdtempSync(join(tmpdir(), "lentilspur-"));
   directories.push(directory);
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,11 +1,12 @@
 /**
- * Builds the daemon into one file and keeps what V8 makes of it:
- * `target/lentilspur.cjs` starts it. One file loads in a third of the processor
- * time of its libraries' hundreds, and compiled code in half of that: a restart
- * on half a core is then silent for about half a second.
+ * Bundles the daemon into one file and writes V8's code cache for it;
+ * `target/lentilspur.cjs` starts the daemon from them. Loading one file takes a
+ * third of the processor time of loading the hundreds of files of the
+ * libraries, and the code cache halves that again: an instance that restarts on
+ * half a core is unavailable for about half a second.
  *
- * V8 takes compiled code only under the flags under which it was made, so this
- * runs under those that the deploy file starts the daemon with.
+ * V8 rejects a code cache that was created under other flags, so this script
+ * restarts itself with the flags from the deploy file.
  */
 import { spawnSync } from "node:child_process";
 import { copyFileSync, readFileSync, writeFileSync } from "node:fs";
@@ -25,8 +26,8 @@
   word.startsWith("-")
 );
 if (process.execArgv.join(" ") !== flags.join(" ")) {
-  const words = [...flags, fileURLToPath(import.meta.url)];
-  const { status } = spawnSync(process.execPath, words, { stdio: "inherit" });
+  const args = [...flags, fileURLToPath(import.meta.url)];
+  const { status } = spawnSync(process.execPath, args, { stdio: "inherit" });
   process.exit(status ?? 1);
 }
 
@@ -46,16 +47,23 @@
   logLevel: "warning",
 });
 
-// All functions are compiled, those of requests too: an instance that has just
-// started would compile them one by one while it answers.
+// Compiles all functions, including those that handle requests: with lazy
+// compilation, a newly started instance would compile them during its first
+// requests.
 setFlagsFromString("--no-lazy");
 const script = new Script(Module.wrap(readFileSync(BUNDLE, "utf8")), {
   filename: BUNDLE,
 });
-// Loaded once, which shows that it loads at all.
-const loaded = { exports: {} };
+// Loads the bundle once, so that a bundle that cannot load fails the build.
+const bundleModule = { exports: {} };
 const require = createRequire(import.meta.url);
-script.runInThisContext()(loaded.exports, require, loaded, BUNDLE, "target");
+script.runInThisContext()(
+  bundleModule.exports,
+  require,
+  bundleModule,
+  BUNDLE,
+  "target",
+);
 setFlagsFromString("--lazy");
 writeFileSync("target/daemon.cache", script.createCachedData());
 copyFileSync("scripts/launch.cjs", "target/lentilspur.cjs");
--- a/scripts/check_platform.mjs
+++ b/scripts/check_platform.mjs
@@ -1,14 +1,14 @@
 /**
- * Holds the adapter to what it is for: the platform's names stand in platform/
- * alone, and it stays small.
+ * Checks the boundary of the platform adapter: names from the platform's
+ * messages occur only in platform/, which is at most a tenth of all code.
  */
 import { readdirSync, readFileSync } from "node:fs";
 import process from "node:process";
 
-/** Names that only the platform's own messages have. */
-const NAMES =
+/** Names that occur only in the platform's messages. */
+const PLATFORM_NAMES =
   /log-append|log-read|log-newest|log-join|log-leave|cold_remaining|hold_time|traffic_split|server_info|min_ttl|keyed\.(op|servers|owners|members)|lentilspur-(shard-key|expected-instance|not-executed|deadline-milliseconds|response-signature|server-load|handover)/i;
-/** As a part of all code, tests aside. */
+/** Largest share of platform/ in the lines of all code, without tests. */
 const MAX_SHARE = 0.1;
 
 const isCode = (file) =>
@@ -25,15 +25,19 @@
     );
 
 const outside = listFiles("packages")
-  .filter((file) => NAMES.test(readFileSync(file, "utf8")));
+  .filter((file) => PLATFORM_NAMES.test(readFileSync(file, "utf8")));
 for (const file of outside) {
-  console.error(`${file} names what only platform/ may name; decode it there`);
+  console.error(
+    `${file} uses a name from the platform's messages, which only platform/ may use; decode the message there`,
+  );
 }
-const adapter = countLines(listFiles("platform"));
-const all = countLines(listFiles("packages")) + adapter;
-const share = adapter / all;
+const platformLines = countLines(listFiles("platform"));
+const allLines = countLines(listFiles("packages")) + platformLines;
+const share = platformLines / allLines;
 console.log(
-  `platform/ has ${adapter} of ${all} lines (${(100 * share).toFixed(1)} %)`,
+  `platform/ has ${platformLines} of ${allLines} lines (${
+    (100 * share).toFixed(1)
+  }%)`,
 );
 if (outside.length > 0 || share > MAX_SHARE) {
   process.exit(1);
--- a/scripts/fuzz.mjs
+++ b/scripts/fuzz.mjs
@@ -1,6 +1,7 @@
 /**
- * Builds and runs the fuzz of keepers: `npm run fuzz -- --seed 77 --runs 250`.
- * CI runs the same test with a fixed seed and fewer runs.
+ * Builds the project and runs the fuzz test of keepers:
+ * `npm run fuzz -- --seed 77 --runs 250`. CI runs the same test with a fixed
+ * seed and fewer runs.
  */
 import process from "node:process";
 import { parseArgs } from "node:util";
--- a/scripts/launch.cjs
+++ b/scripts/launch.cjs
@@ -1,8 +1,8 @@
 /**
- * Starts the daemon from its bundle, with the code that V8 compiled when the
- * bundle was built. On half a core a restarted instance listens 0.1 s sooner:
- * loading takes 29 ms of processor time in place of 50. Without a fitting cache
- * (another Node.js) V8 compiles anew, and all works the same.
+ * Starts the daemon from its bundle and the V8 code cache that was created when
+ * the bundle was built. On half a core, a restarted instance listens 0.1 s
+ * sooner, because loading takes 29 ms of processor time instead of 50 ms. If V8
+ * rejects the cache (another Node.js version), it compiles the bundle again.
  */
 "use strict";
 const { readFileSync } = require("node:fs");
--- a/scripts/lint.mjs
+++ b/scripts/lint.mjs
@@ -1,4 +1,7 @@
-/** Deno's rules, then the few that Deno lacks. Needs a finished build. */
+/**
+ * Runs Deno's linter, then ESLint for the rules that Deno lacks. Requires a
+ * finished build.
+ */
 import { runTool } from "./tools.mjs";
 
 runTool("npx", ["deno", "lint", "--quiet"]);
--- a/scripts/measure.mjs
+++ b/scripts/measure.mjs
@@ -1,4 +1,7 @@
-/** Builds, then runs one measurement: `npm run measure -- load --json`. */
+/**
+ * Builds the project and runs one measurement: `npm run measure -- load
+ * --json`.
+ */
 import process from "node:process";
 import { buildProject, runTool } from "./tools.mjs";
 
--- a/scripts/soak.mjs
+++ b/scripts/soak.mjs
@@ -1,4 +1,7 @@
-/** Builds and runs the soak: `npm run soak -- --seed 7 --seconds 60`. */
+/**
+ * Builds the project and runs the soak test: `npm run soak -- --seed 7
+ * --seconds 60`.
+ */
 import process from "node:process";
 import { buildProject, runTool } from "./tools.mjs";
 
--- a/scripts/start.mjs
+++ b/scripts/start.mjs
@@ -1,4 +1,7 @@
-/** Installs, builds and runs the main job: `npm start`, `npm start -- --once`. */
+/**
+ * Installs packages, builds and runs the local trial deployment: `npm start`,
+ * `npm start -- --once`.
+ */
 import process from "node:process";
 import { buildProject, runTool } from "./tools.mjs";
 
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,24 +1,27 @@
 /**
- * Installs, builds and runs every `*_test.ts`. Arguments pick test files by a
- * part of their path: `npm test -- fold`.
+ * Installs packages, builds and runs every `*_test.ts`. Arguments select the
+ * test files whose paths contain all of them: `npm test -- routing/`.
  */
 import { existsSync, readdirSync } from "node:fs";
 import process from "node:process";
 import { buildProject, runTool } from "./tools.mjs";
 
-/** A file that hangs fails; the longest takes a twentieth of this. */
+/**
+ * A test file that hangs fails after this; the slowest one takes a twentieth of
+ * it.
+ */
 const FILE_TIMEOUT_MS = 300_000;
 
 buildProject();
-const wanted = process.argv.slice(2);
+const pathParts = process.argv.slice(2);
 const files = ["packages", "platform"]
   .flatMap((root) =>
     readdirSync(root, { recursive: true }).map((file) => `${root}/${file}`)
   )
   .filter((file) => /\/dist\/.*_test\.js$/.test(file))
   .filter((file) => !file.includes("node_modules"))
-  .filter((file) => existsSync(getSource(file)))
-  .filter((file) => wanted.every((part) => file.includes(part)))
+  .filter((file) => existsSync(getSourcePath(file)))
+  .filter((file) => pathParts.every((part) => file.includes(part)))
   .sort();
 runTool("node", [
   "--test",
@@ -27,7 +30,10 @@
   ...files,
 ]);
 
-/** A test whose source is gone may still lie built; it is not run. */
-function getSource(file) {
+/**
+ * Returns the source of a built test, which is run only while its source
+ * exists.
+ */
+function getSourcePath(file) {
   return file.replace("/dist/", "/src/").replace(/\.js$/, ".ts");
 }
--- a/scripts/tools.mjs
+++ b/scripts/tools.mjs
@@ -1,8 +1,11 @@
-/** Runs the project's tools one after another and stops at the first failure. */
+/**
+ * Helpers of the scripts: run the project's tools and exit at the first
+ * failure.
+ */
 import { spawnSync } from "node:child_process";
 import process from "node:process";
 
-/** Runs `command` in the repository root; ends this process if it fails. */
+/** Runs `command` in the current directory; exits this process if it fails. */
 export function runTool(command, args) {
   const result = spawnSync(command, args, { stdio: "inherit" });
   if (result.status !== 0) {
@@ -10,7 +13,7 @@
   }
 }
 
-/** Installs when needed and builds. `npm start` and `npm test` begin with it. */
+/** Installs packages if any is missing, then builds the project. */
 export function buildProject() {
   const installed = spawnSync("npm", ["ls", "--silent"], { stdio: "ignore" });
   if (installed.status !== 0) {
--- a/scripts/undici_client.mjs
+++ b/scripts/undici_client.mjs
@@ -1,7 +1,8 @@
 /**
- * What the daemon uses of `undici`: its client of one connection. The package's
- * own entry also loads fetch, caches and web sockets, which is half of the
- * whole bundle and of what a start costs.
+ * Replaces `undici` in the bundle by its single-connection client, the only
+ * part that the daemon uses. The package's entry point also loads fetch, caches
+ * and web sockets, which are half of the bundle and of the processor time of a
+ * start.
  */
 import Client from "../node_modules/undici/lib/dispatcher/client.js";
 
