--- a/packages/declarations/src/broken_declarations_test.ts
+++ b/packages/declarations/src/broken_declarations_test.ts
@@ -18,19 +18,19 @@
     text: readFileSync(new URL(name, DIRECTORY), "utf8"),
   }));
 
-/** `  - method: GET` cut into what stands before the value, and the value. */
+/** Splits `  - method: GET` into indentation, field name and value. */
 const FIELD_PATTERN = /^( *(?:- )?)([A-Za-z]+): (\S+)$/;
 
-/** Values that no field allows. */
+/** Values that are invalid for every field. */
 const BAD_VALUES = ["{}", "[]", "-1", "~", '"?"'];
 
 interface BrokenLine {
   readonly file: DeclarationFile;
-  /** Counted from 1. */
+  /** 1-based. */
   readonly line: number;
 }
 
-/** One change to one line of one file. */
+/** Replaces one line of `file`; the last of the new lines is invalid. */
 function createBroken(
   file: DeclarationFile,
   index: number,
@@ -66,7 +66,7 @@
     .map((fault) => fault.line);
 }
 
-test("every field of the examples, broken in six ways, is named by its line", () => {
+test("every field of the examples, made invalid in six ways, is reported with its line", () => {
   const broken = listBroken();
   assert.ok(broken.length > 6 * 100, String(broken.length));
   const missed = broken
@@ -77,7 +77,7 @@
   assert.deepEqual(missed, []);
 });
 
-test("no text, however mangled, makes the check throw or lose its place", () => {
+test("corrupted text makes validation neither throw nor report a line outside the file", () => {
   const mangled = fc.record({
     file: fc.constantFrom(...FILES),
     at: fc.nat(),
--- a/packages/declarations/src/change_text.ts
+++ b/packages/declarations/src/change_text.ts
@@ -1,4 +1,4 @@
-/** Changes as people read them, field by field in the declared form. */
+/** Formats changes of a configuration for operators, field by field. */
 import {
   renderClientAccount,
   type RenderedDocument,
@@ -6,14 +6,14 @@
 } from "./render.ts";
 import type { Configuration, DocumentChange } from "./template.ts";
 
-/** One line for each document, and one for each field that differs. */
+/** Returns one line for each changed document and each changed field. */
 export function describeChanges(
   before: Configuration,
   changes: readonly DocumentChange[],
 ): readonly string[] {
   return changes.flatMap((change) => {
-    const earlier = findRendered(before, change);
-    const later = renderContent(change);
+    const earlier = renderDocument(before, change);
+    const later = renderChangedDocument(change);
     const title = `${change.kind} ${change.name}`;
     if (later === undefined) {
       return [`- ${title}`];
@@ -24,7 +24,7 @@
   });
 }
 
-function findRendered(
+function renderDocument(
   configuration: Configuration,
   change: DocumentChange,
 ): RenderedDocument | undefined {
@@ -42,7 +42,9 @@
   }
 }
 
-function renderContent(change: DocumentChange): RenderedDocument | undefined {
+function renderChangedDocument(
+  change: DocumentChange,
+): RenderedDocument | undefined {
   switch (change.kind) {
     case "template":
       return change.content === null
@@ -78,7 +80,7 @@
   return `    ${path}: ${before} -> ${after ?? "(removed)"}`;
 }
 
-/** Leaves by their path. Members of a list go by what identifies them. */
+/** Returns leaf values by path. List members are identified by content. */
 function listFields(document: RenderedDocument): ReadonlyMap<string, string> {
   const fields = new Map<string, string>();
   for (const [name, value] of Object.entries(document)) {
@@ -105,7 +107,10 @@
   }
 }
 
-/** Index numbers would show a whole list as changed when one is put in front. */
+/**
+ * Adds a list member under a path with its identifying values. With an index
+ * in the path, inserting a member would mark all later members as changed.
+ */
 function addMember(
   fields: Map<string, string>,
   path: string,
--- a/packages/declarations/src/client_account_schema.ts
+++ b/packages/declarations/src/client_account_schema.ts
@@ -1,4 +1,4 @@
-/** The form of a `kind: ClientAccount` document, and the account it makes. */
+/** Schema of `kind: ClientAccount` documents, and their conversion. */
 import { z } from "zod";
 import { compareText } from "./declaration_fault.ts";
 import { ACCOUNT_DEFAULTS } from "./defaults.ts";
@@ -11,15 +11,15 @@
 } from "./field_schemas.ts";
 import type { ClientAccount } from "./template.ts";
 
-/** Marks a digest, so that no credential is taken for one. */
+/** Distinguishes a digest from a credential that was pasted by mistake. */
 export const DIGEST_PREFIX = "sha256:";
 
 const DIGEST_PATTERN = /^sha256:[0-9a-f]{64}$/;
 
 const DIGEST_ALLOWED =
-  `${DIGEST_PREFIX} and 64 digits 0-9a-f, as "lentilspur credential" prints it, never the credential itself`;
+  `${DIGEST_PREFIX} followed by 64 hex digits (0-9a-f), as printed by "lentilspur credential"; never the credential itself`;
 
-const DIGESTS_ALLOWED = `a list of 1 to 8 texts, each ${DIGEST_ALLOWED}`;
+const DIGESTS_ALLOWED = `a list of 1 to 8 strings, each ${DIGEST_ALLOWED}`;
 
 const TEMPLATES_ALLOWED = "a list of 1 to 64 templates with their parameters";
 
@@ -55,8 +55,9 @@
 export type ClientAccountDocument = z.output<typeof clientAccountSchema>;
 
 /**
- * Gives a valid document the shape that the rest of the system reads. Lists
- * whose order means nothing are sorted, so that a new order is no change.
+ * Converts a valid document into the account that the rest of the system uses.
+ * Sorts lists whose order has no meaning, so that reordering them in a file
+ * does not count as a change.
  */
 export function toClientAccount(
   document: ClientAccountDocument,
--- a/packages/declarations/src/declaration_fault.ts
+++ b/packages/declarations/src/declaration_fault.ts
@@ -1,30 +1,33 @@
-/** What is wrong with a declaration, and where. */
+/** Faults in declarations: their type, order and message format. */
 
-/** A line and a column of a file, both counted from 1. */
+/** A position in a file; line and column are 1-based. */
 export interface SourcePosition {
   readonly line: number;
   readonly column: number;
 }
 
-/** One fault, told so that an operator can mend it without reading the code. */
+/** A fault, with all that an operator needs to correct the declaration. */
 export interface DeclarationFault {
   readonly file: string;
   readonly line: number;
   readonly column: number;
-  /** Within the document, such as `routes[0].path`; empty for the whole. */
+  /** Path in the document, such as `routes[0].path`; empty for the root. */
   readonly path: string;
   readonly found: string;
   readonly allowed: string;
 }
 
-/** `FILE:LINE:COLUMN: PATH: found X; allowed is Y`, which editors can follow. */
+/**
+ * Formats `FILE:LINE:COLUMN: PATH: found X; expected Y`. Editors can jump to the
+ * location.
+ */
 export function formatDeclarationFault(fault: DeclarationFault): string {
-  const place = `${fault.file}:${fault.line}:${fault.column}`;
+  const location = `${fault.file}:${fault.line}:${fault.column}`;
   const path = fault.path === "" ? "(document)" : fault.path;
-  return `${place}: ${path}: found ${fault.found}; allowed is ${fault.allowed}`;
+  return `${location}: ${path}: found ${fault.found}; expected ${fault.allowed}`;
 }
 
-/** Orders faults as a reader meets them, file by file from the top. */
+/** Sorts faults by file, line and column. */
 export function sortDeclarationFaults(
   faults: readonly DeclarationFault[],
 ): readonly DeclarationFault[] {
@@ -33,10 +36,10 @@
   );
 }
 
-/** Longest quotation of a value; longer ones are cut. */
+/** Longer values are truncated in messages. */
 const MAX_QUOTED_CHARACTERS = 60;
 
-/** A value as a message quotes it. */
+/** Describes a value for a message. */
 export function describeValue(value: unknown): string {
   if (value === undefined) {
     return "nothing";
@@ -50,7 +53,7 @@
   return describeScalar(value);
 }
 
-/** By code unit, so that the order is the same under every locale. */
+/** Compares by code unit, so that the order is independent of the locale. */
 export function compareText(a: string, b: string): number {
   return a < b ? -1 : a > b ? 1 : 0;
 }
--- a/packages/declarations/src/defaults.ts
+++ b/packages/declarations/src/defaults.ts
@@ -1,29 +1,32 @@
 /**
- * What holds where a declaration leaves a field out, in one place and in the
- * form that operators write. Fields without a default here must be declared,
- * because no value would be right for most: routes, shard count, credentials.
+ * Default values of declarations, in the notation of declarations. Fields that
+ * have no default are required, because no value suits most deployments:
+ * routes, shard count, credentials.
  */
 
 export const TEMPLATE_DEFAULTS = {
-  /** Each target has 2 places in both deployments. */
+  /** Targets of both current deployments have 2 places. */
   placesPerTarget: 2,
   deadlines: {
-    /** Ten times what a person at a screen waits for without noticing. */
+    /** 10 times the delay that an interactive user does not notice. */
     default: "2s",
     max: "10s",
   },
   limits: {
     maxBody: "64KiB",
     maxAnswer: "1MiB",
-    /** 32 requests a place: 640 ms of waiting where a request runs 20 ms. */
+    /** 32 requests per place: 640 ms of waiting if a request takes 20 ms. */
     maxQueuedPerTarget: 64,
-    /** Half of the default deadline, so that what waited can still run. */
+    /** Half of the default deadline, which leaves time to run the request. */
     maxQueueTime: "1s",
   },
-  /** No preference between the three evils. */
+  /** All three costs have the same weight. */
   placement: { imbalance: 1, churn: 1, unservedTime: 1 },
   retry: {
-    /** One lookup in ten is sent twice: a target's brief fault, not a storm. */
+    /**
+     * 1 retry per 10 first attempts: enough for a brief fault of a target, too
+     * few for a retry storm.
+     */
     budgetRatio: 0.1,
     maxAttempts: 2,
   },
--- a/packages/declarations/src/defaults_test.ts
+++ b/packages/declarations/src/defaults_test.ts
@@ -3,19 +3,19 @@
 import { test } from "node:test";
 import { ACCOUNT_DEFAULTS, TEMPLATE_DEFAULTS } from "./defaults.ts";
 
-/** Leaves by their path, as the operators' page names them. */
+/** Lists leaf values by path, in the notation of the operators' page. */
 function listLeaves(
   values: Readonly<Record<string, unknown>>,
-  prefix: string,
+  pathPrefix: string,
 ): readonly string[] {
   return Object.entries(values).flatMap(([name, value]) =>
     typeof value === "object" && value !== null
-      ? listLeaves({ ...value }, `${prefix}${name}.`)
-      : [`\`${prefix}${name}\` \`${value}\``]
+      ? listLeaves({ ...value }, `${pathPrefix}${name}.`)
+      : [`\`${pathPrefix}${name}\` \`${value}\``]
   );
 }
 
-test("the operators' page shows the defaults as they are", () => {
+test("the operators' page shows the current defaults", () => {
   const page = readFileSync(
     new URL("../../../docs/operating/publish.md", import.meta.url),
     "utf8",
--- a/packages/declarations/src/diff.ts
+++ b/packages/declarations/src/diff.ts
@@ -1,25 +1,25 @@
-/** What a publication changes, document by document. */
+/** Computes and applies the differences between two configurations. */
 import { isDeepStrictEqual } from "node:util";
 import { compareText } from "./declaration_fault.ts";
 import type { Configuration, DocumentChange } from "./template.ts";
 
-interface Named {
+interface NamedDocument {
   readonly name: string;
 }
 
-/** The changes that make `after` of `before`; none where they are equal. */
+/** Returns the changes that turn `before` into `after`. */
 export function diffConfigurations(
   before: Configuration,
   after: Configuration,
 ): readonly DocumentChange[] {
   return [
-    ...listChanged(before.templates, after.templates)
+    ...listChangedDocuments(before.templates, after.templates)
       .map(({ name, content }) => ({
         kind: "template" as const,
         name,
         content,
       })),
-    ...listChanged(before.clientAccounts, after.clientAccounts)
+    ...listChangedDocuments(before.clientAccounts, after.clientAccounts)
       .map(({ name, content }) => ({
         kind: "clientAccount" as const,
         name,
@@ -28,7 +28,7 @@
   ];
 }
 
-/** `before` with each change made; documents come sorted by name. */
+/** Applies `changes` to `before`; the result is sorted by document name. */
 export function applyChanges(
   before: Configuration,
   changes: readonly DocumentChange[],
@@ -51,7 +51,7 @@
   };
 }
 
-function listChanged<Content extends Named>(
+function listChangedDocuments<Content extends NamedDocument>(
   before: readonly Content[],
   after: readonly Content[],
 ): readonly { readonly name: string; readonly content: Content | null }[] {
@@ -64,7 +64,7 @@
     .map((name) => ({ name, content: later.get(name) ?? null }));
 }
 
-function toMap<Content extends Named>(
+function toMap<Content extends NamedDocument>(
   documents: readonly Content[],
 ): Map<string, Content> {
   return new Map(documents.map((document) => [document.name, document]));
@@ -82,7 +82,7 @@
   }
 }
 
-function toSorted<Content extends Named>(
+function toSorted<Content extends NamedDocument>(
   documents: ReadonlyMap<string, Content>,
 ): readonly Content[] {
   return [...documents.values()].sort((a, b) => compareText(a.name, b.name));
--- a/packages/declarations/src/diff_test.ts
+++ b/packages/declarations/src/diff_test.ts
@@ -11,7 +11,7 @@
 const TEMPLATE_NAMES = ["calendars", "payments", "reservations"];
 const ACCOUNT_NAMES = ["abay", "nile", "sinza", "upanga"];
 
-/** Configurations are parsed data, so their objects have the usual prototype. */
+/** Parsed configurations have Object.prototype, so null prototypes are off. */
 function createRecord<T>(model: { [K in keyof T]: fc.Arbitrary<T[K]> }) {
   return fc.record(model, { noNullPrototype: true });
 }
@@ -29,7 +29,7 @@
       }),
       { minLength: 1, maxLength: 4, selector: (r) => `${r.method} ${r.path}` },
     ),
-    // The same in every version, as it is fixed for the template's life.
+    // Constant, because the shard count of a template cannot change.
     shardCount: fc.constant(256),
     placesPerTarget: count(8),
     deadlines: createRecord({
@@ -90,7 +90,7 @@
     })
   );
 
-test("applying a difference gives the later configuration", () => {
+test("applying a diff to a configuration gives the later configuration", () => {
   fc.assert(
     fc.property(configurations, configurations, (before, after) => {
       const changes = diffConfigurations(before, after);
@@ -100,7 +100,7 @@
   );
 });
 
-test("a rendered configuration validates to itself", () => {
+test("a rendered configuration validates to the same configuration", () => {
   fc.assert(
     fc.property(configurations, (configuration) => {
       const text = renderConfiguration(configuration);
@@ -112,7 +112,7 @@
   );
 });
 
-test("every changed document is described by at least its title", () => {
+test("every changed document has a title line", () => {
   fc.assert(
     fc.property(configurations, configurations, (before, after) => {
       const changes = diffConfigurations(before, after);
@@ -124,7 +124,7 @@
   );
 });
 
-test("a changed limit is shown as it is written, before and after", () => {
+test("a changed limit is shown with its old and new value", () => {
   const [before] = fc.sample(configurations, { seed: SEED, numRuns: 1 });
   const [template] = before?.templates ?? [];
   assert.ok(before && template);
--- a/packages/declarations/src/document_source.ts
+++ b/packages/declarations/src/document_source.ts
@@ -1,6 +1,6 @@
 /**
- * Declaration files cut into documents that remember where each value stands.
- * A file holds one or more YAML documents, separated by `---`.
+ * Parses declaration files into documents that keep the location of each value.
+ * A file contains one or more YAML documents, separated by `---`.
  */
 import {
   type Document,
@@ -16,45 +16,48 @@
 import type { DeclarationFault, SourcePosition } from "./declaration_fault.ts";
 
 export interface DeclarationFile {
-  /** As messages show it: the path below the declarations' directory. */
+  /** Path relative to the declarations directory, as shown in messages. */
   readonly name: string;
   readonly text: string;
 }
 
-/** Steps from a document's top to one value, as zod reports them. */
+/** Path from the document root to a value, as reported by zod. */
 export type ValuePath = readonly PropertyKey[];
 
-/** One document of a file. */
+/** A parsed YAML document of a file. */
 export class SourceDocument {
   readonly file: string;
   readonly value: unknown;
-  readonly #node: Document.Parsed;
-  readonly #lines: LineCounter;
+  readonly #document: Document.Parsed;
+  readonly #lineCounter: LineCounter;
 
   constructor(
     file: string,
-    node: Document.Parsed,
-    lines: LineCounter,
+    document: Document.Parsed,
+    lineCounter: LineCounter,
   ) {
     this.file = file;
-    this.value = node.toJS();
-    this.#node = node;
-    this.#lines = lines;
+    this.value = document.toJS();
+    this.#document = document;
+    this.#lineCounter = lineCounter;
   }
 
-  /** A top-level field where it is text, however wrong the rest may be. */
+  /** Returns a top-level string field, even if the document is invalid. */
   getText(field: string): string | undefined {
-    const value = this.#node.get(field);
+    const value = this.#document.get(field);
     return typeof value === "string" ? value : undefined;
   }
 
-  /** Where the value at `path` stands; a missing one stands at its parent. */
+  /** Locates the value at `path`, or its closest ancestor if it is missing. */
   locate(path: ValuePath): SourcePosition {
     const node = this.#findNode(path);
-    return locateOffset(this.#lines, node?.range?.[0] ?? this.#getStart());
+    return locateOffset(
+      this.#lineCounter,
+      node?.range?.[0] ?? this.#getStart(),
+    );
   }
 
-  /** Where the field name `key` stands in the mapping at `path`. */
+  /** Locates the field name `key` in the mapping at `path`. */
   locateKey(path: ValuePath, key: string): SourcePosition {
     const parent = this.#findNode(path);
     const pair = isMap(parent)
@@ -64,11 +67,10 @@
       : undefined;
     const node = pair?.key;
     return isNode(node) && node.range
-      ? locateOffset(this.#lines, node.range[0])
+      ? locateOffset(this.#lineCounter, node.range[0])
       : this.locate(path);
   }
 
-  /** Makes a fault that stands at `path`. */
   createFault(
     path: ValuePath,
     found: string,
@@ -88,8 +90,8 @@
     for (let length = path.length; length >= 0; length--) {
       const steps = path.slice(0, length);
       const node = length === 0
-        ? this.#node.contents
-        : this.#node.getIn(steps, true);
+        ? this.#document.contents
+        : this.#document.getIn(steps, true);
       if (isNode(node)) {
         return node;
       }
@@ -98,39 +100,39 @@
   }
 
   #getStart(): number {
-    return this.#node.range[0];
+    return this.#document.range[0];
   }
 }
 
-/** What one file gave. Documents with faults of syntax are left out. */
+/** Documents and faults of a file; omits documents with syntax errors. */
 export interface ParsedDeclarationFile {
   readonly documents: readonly SourceDocument[];
   readonly faults: readonly DeclarationFault[];
 }
 
-/** Cuts `file` into documents. Never throws, whatever the text. */
+/** Parses `file`; reports invalid input as faults and never throws. */
 export function parseDeclarationFile(
   file: DeclarationFile,
 ): ParsedDeclarationFile {
-  const lines = new LineCounter();
+  const lineCounter = new LineCounter();
   const parsed = parseAllDocuments(file.text, {
-    lineCounter: lines,
+    lineCounter,
     uniqueKeys: true,
     prettyErrors: false,
   });
   const documents: SourceDocument[] = [];
   const faults: DeclarationFault[] = [];
-  for (const node of Array.isArray(parsed) ? parsed : []) {
-    const nodeFaults = listSyntaxFaults(file, node, lines);
-    faults.push(...nodeFaults);
-    if (nodeFaults.length === 0 && !isEmpty(node)) {
-      documents.push(new SourceDocument(file.name, node, lines));
+  for (const document of Array.isArray(parsed) ? parsed : []) {
+    const syntaxFaults = listSyntaxFaults(file, document, lineCounter);
+    faults.push(...syntaxFaults);
+    if (syntaxFaults.length === 0 && !isEmpty(document)) {
+      documents.push(new SourceDocument(file.name, document, lineCounter));
     }
   }
   return { documents, faults };
 }
 
-/** `["routes", 0, "path"]` as `routes[0].path`. */
+/** Formats `["routes", 0, "path"]` as `routes[0].path`. */
 export function formatPath(path: ValuePath): string {
   return path.reduce<string>((text, step) => {
     if (typeof step === "number") {
@@ -142,51 +144,54 @@
 
 function listSyntaxFaults(
   file: DeclarationFile,
-  node: Document.Parsed,
-  lines: LineCounter,
+  document: Document.Parsed,
+  lineCounter: LineCounter,
 ): readonly DeclarationFault[] {
-  const faults = [...node.errors, ...node.warnings].map((error) => ({
+  const faults = [...document.errors, ...document.warnings].map((error) => ({
     file: file.name,
-    ...locateOffset(lines, error.pos[0]),
+    ...locateOffset(lineCounter, error.pos[0]),
     path: "",
-    found: `a fault of syntax (${toOneLine(error.message)})`,
-    allowed: "YAML 1.2 with each field named once",
+    found: `a syntax error (${toOneLine(error.message)})`,
+    allowed: "valid YAML 1.2 without duplicate fields",
   }));
-  const alias = findAlias(node);
-  return alias === undefined ? faults : [...faults, {
+  const aliasOffset = findAliasOffset(document);
+  return aliasOffset === undefined ? faults : [...faults, {
     file: file.name,
-    ...locateOffset(lines, alias),
+    ...locateOffset(lineCounter, aliasOffset),
     path: "",
     found: "an anchor or alias",
-    allowed: "each value written out where it holds",
+    allowed: "each value written out where it is used",
   }];
 }
 
 /**
- * Aliases are refused: a reviewer of a change could not see in the changed
- * lines which other documents' values change with them, and nested aliases
- * make a small file expand without bound.
+ * Finds the offset of the first anchor or alias. These are rejected for two
+ * reasons: the changed lines of an edit would not show all values that change
+ * with them, and nested aliases let a small file expand without bound.
  */
-function findAlias(node: Document.Parsed): number | undefined {
-  let found: number | undefined;
-  visit(node, {
+function findAliasOffset(document: Document.Parsed): number | undefined {
+  let offset: number | undefined;
+  visit(document, {
     Node: (_key, child) => {
       if (isAlias(child) || child.anchor !== undefined) {
-        found = child.range?.[0] ?? 0;
+        offset = child.range?.[0] ?? 0;
         return visit.BREAK;
       }
       return undefined;
     },
   });
-  return found;
+  return offset;
 }
 
-function isEmpty(node: Document.Parsed): boolean {
-  return node.contents === null || node.toJS() === null;
+function isEmpty(document: Document.Parsed): boolean {
+  return document.contents === null || document.toJS() === null;
 }
 
-function locateOffset(lines: LineCounter, offset: number): SourcePosition {
-  const { line, col } = lines.linePos(offset);
+function locateOffset(
+  lineCounter: LineCounter,
+  offset: number,
+): SourcePosition {
+  const { line, col } = lineCounter.linePos(offset);
   return { line: Math.max(1, line), column: Math.max(1, col) };
 }
 
--- a/packages/declarations/src/field_schemas.ts
+++ b/packages/declarations/src/field_schemas.ts
@@ -1,6 +1,6 @@
 /**
- * Schemas of single fields. Each carries as its error text what is allowed, so
- * that a fault can say it beside what was found.
+ * Schemas of single fields. The error text of each schema describes the allowed
+ * values, so that a fault can report both the allowed and the found value.
  */
 import { z } from "zod";
 import {
@@ -17,16 +17,16 @@
 }
 
 /**
- * Names stand in keys of metrics, in log lines and in unit ids, so they keep
- * to characters that need no quoting anywhere.
+ * Names appear in metric labels, log lines and unit ids, so they are limited to
+ * characters that need no quoting in any of these.
  */
 const NAME_PATTERN = /^[a-z][a-z0-9-]{0,62}$/;
 
-/** No instance serves more; a larger figure is a slip of the pen. */
+/** No instance can serve a higher rate, so a higher value is a mistake. */
 const MAX_RATE_PER_SECOND = 1_000_000;
 
 export const NAME_ALLOWED =
-  "a name of 1 to 63 characters a-z, 0-9 and -, beginning with a letter";
+  "a name of 1 to 63 characters a-z, 0-9 and -, starting with a letter";
 
 export const nameSchema = z
   .string({ error: NAME_ALLOWED })
@@ -34,7 +34,7 @@
 
 export const booleanSchema = z.boolean({ error: "true or false" });
 
-/** A mapping with exactly these fields. */
+/** Accepts a mapping that has no fields other than those of `shape`. */
 export function createObjectSchema<Shape extends z.ZodRawShape>(shape: Shape) {
   const fields = Object.keys(shape).join(", ");
   return z.strictObject(shape, {
@@ -55,7 +55,7 @@
   return z.number({ error }).min(min, { error }).max(max, { error });
 }
 
-/** Milliseconds, written with their unit. */
+/** Accepts a duration with a unit; the output is in milliseconds. */
 export function createDurationSchema(bounds: Bounds) {
   const range = `${formatDuration(bounds.min)} to ${
     formatDuration(bounds.max)
@@ -63,26 +63,26 @@
   return createQuantitySchema(
     parseDuration,
     bounds,
-    `a duration from ${range}, a whole number with ms, s, min or h`,
+    `a duration from ${range}, a whole number followed by ms, s, min or h`,
   );
 }
 
-/** Bytes, written with their unit. */
+/** Accepts a size with a unit; the output is in bytes. */
 export function createSizeSchema(bounds: Bounds) {
   const range = `${formatSize(bounds.min)} to ${formatSize(bounds.max)}`;
   return createQuantitySchema(
     parseSize,
     bounds,
-    `a size from ${range}, a whole number with B, KiB or MiB`,
+    `a size from ${range}, a whole number followed by B, KiB or MiB`,
   );
 }
 
-/** Events a second, written as a count for each period. */
+/** Accepts a rate, such as `200/s`; the output is in events per second. */
 export function createRateSchema() {
   return createQuantitySchema(
     parseRate,
     { min: 1 / 3_600, max: MAX_RATE_PER_SECOND },
-    `a rate from 1/h to ${MAX_RATE_PER_SECOND}/s, a whole number with /s, /min or /h`,
+    `a rate from 1/h to ${MAX_RATE_PER_SECOND}/s, a whole number followed by /s, /min or /h`,
   );
 }
 
--- a/packages/declarations/src/publication.ts
+++ b/packages/declarations/src/publication.ts
@@ -1,8 +1,8 @@
 /**
- * What operators publish, as one record: the whole configuration in force and
- * who brought about the last versions. One record, since it is written on the
- * condition that nobody else has written since: a version and its history
- * cannot come apart.
+ * The record that operators publish: the complete configuration in force and
+ * the history of the last versions. Both are in one record, because the record
+ * is appended only if no other record was appended since it was read. A version
+ * and its history can therefore not diverge.
  */
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import type { RoutingTable } from "@lentilspur/ports/routing_table";
@@ -10,35 +10,38 @@
 import { buildRoutingTable } from "./published_routing.ts";
 import type { Configuration } from "./template.ts";
 
-/** One accepted version. */
+/** Describes one published version. */
 export interface PublicationNote {
   readonly version: number;
-  /** Unique; tells whether an append without an answer was done. */
+  /** Unique; shows whether an append without a response took effect. */
   readonly id: string;
   readonly operator: string;
-  /** By the operator's clock, for people. */
+  /** Informational: time of the operator's clock. */
   readonly publishedAt: string;
-  /** Changes in the declared form, a line each. */
+  /** A line for each changed document or field, in declaration notation. */
   readonly changes: readonly string[];
 }
 
 export interface Publication {
   readonly version: number;
   readonly configuration: Configuration;
-  /** The last ones, the newest last. */
+  /** The last versions, newest last. */
   readonly notes: readonly PublicationNote[];
 }
 
-/** Before anything is published. */
+/** State before the first publication. */
 export const EMPTY_PUBLICATION: Publication = {
   version: 0,
   configuration: { templates: [], clientAccounts: [] },
   notes: [],
 };
 
-/** A day of changes comes to some 200 KB at this many; a record holds 256 KB. */
+/**
+ * 20 notes, about a day of changes, take some 200 KB; a record is limited to
+ * 256 KB.
+ */
 const MAX_NOTES = 20;
-/** Of one publication; a whole new deployment is not told line by line. */
+/** Per publication; a longer list, as of a new deployment, is truncated. */
 const MAX_CHANGE_LINES = 40;
 
 const noteSchema = z.object({
@@ -58,7 +61,7 @@
   notes: z.array(noteSchema),
 });
 
-/** The next version, with its note. */
+/** Creates the version that follows `before`. */
 export function createPublication(
   before: Publication,
   configuration: Configuration,
@@ -78,21 +81,24 @@
   return JSON.stringify(publication);
 }
 
-/** The failure is a sentence. Only this project's commands write the record. */
+/**
+ * Returns an error message if `text` is not a publication. The check is shallow,
+ * because only lentilspur's own commands write the record.
+ */
 export function parsePublication(text: string): Result<Publication, string> {
   let value: unknown;
   try {
     value = JSON.parse(text);
   } catch (error) {
-    return Err(`The publication is no JSON: ${String(error)}`);
+    return Err(`The publication is not valid JSON: ${String(error)}`);
   }
   const parsed = publicationSchema.safeParse(value);
   return parsed.success
     ? Ok(parsed.data as unknown as Publication)
-    : Err(`The publication is at fault: ${z.prettifyError(parsed.error)}`);
+    : Err(`The publication is invalid: ${z.prettifyError(parsed.error)}`);
 }
 
-/** What an instance routes by, from the record. */
+/** Decodes the record into the routing table of an instance. */
 export function decodePublishedRouting(
   text: string,
 ): Result<RoutingTable, string> {
--- a/packages/declarations/src/publication_test.ts
+++ b/packages/declarations/src/publication_test.ts
@@ -35,7 +35,7 @@
   changes: ["+ template case-files"],
 };
 
-test("what is published is what instances route by", () => {
+test("a published configuration decodes to the matching routing table", () => {
   const publication = createPublication(EMPTY_PUBLICATION, CONFIGURATION, NOTE);
   const table = decodePublishedRouting(serializePublication(publication))
     .unwrap();
@@ -70,7 +70,7 @@
   });
 });
 
-test("versions grow by one and only the last notes stay", () => {
+test("versions increase by one and only the last 20 notes are kept", () => {
   let publication = EMPTY_PUBLICATION;
   for (let count = 0; count < 30; count++) {
     publication = createPublication(publication, CONFIGURATION, NOTE);
@@ -80,7 +80,7 @@
   assert.equal(publication.notes.at(-1)!.version, 30);
 });
 
-test("a record that is none is refused, not guessed", () => {
+test("text that is not a publication is rejected", () => {
   for (const text of ["{", "null", "{}", '{"version":0}']) {
     assert.ok(!parsePublication(text).ok, text);
   }
--- a/packages/declarations/src/published_routing.ts
+++ b/packages/declarations/src/published_routing.ts
@@ -1,7 +1,8 @@
 /**
- * From declarations to what an instance routes by: each template becomes a
- * service whose targets own its keys, each of its routes a route by method and
- * path, each client account an allowance for each of its templates.
+ * Builds the routing table of an instance from a published configuration. Each
+ * template becomes a service whose targets own its keys, each route of a
+ * template becomes a route by method and path, and each client account gets an
+ * allowance for each of its templates.
  */
 import type {
   AccountAllowance,
@@ -20,13 +21,13 @@
 } from "./template.ts";
 
 /**
- * Connections that one target accepts from all instances together, of which
- * each instance uses its part; the smallest of today's two deployments.
+ * Connections that one target accepts from all instances together; each
+ * instance uses its share. The lower value of the two current deployments.
  */
 const MAX_CONNECTIONS = 130;
-/** Ordinary values of HTTP servers. */
-const HEAD_TIMEOUT_MS = 5_000;
-/** Longer than the idle time of usual balancers, so that they close first. */
+/** A common default of HTTP servers. */
+const HEADER_TIMEOUT_MS = 5_000;
+/** Longer than that of common load balancers, so that they close first. */
 const IDLE_TIMEOUT_MS = 65_000;
 
 export function buildRoutingTable(
@@ -34,7 +35,7 @@
   version: number,
 ): RoutingTable {
   const { templates, clientAccounts } = configuration;
-  const bodies = templates.map(({ limits }) => limits.maxBodyBytes);
+  const bodyLimits = templates.map(({ limits }) => limits.maxBodyBytes);
   return {
     version,
     routes: templates.flatMap((template) =>
@@ -42,8 +43,8 @@
     ),
     services: new Map(templates.map((each) => [each.name, toService(each)])),
     limits: {
-      maxBodyBytes: Math.max(0, ...bodies),
-      headTimeoutMs: HEAD_TIMEOUT_MS,
+      maxBodyBytes: Math.max(0, ...bodyLimits),
+      headTimeoutMs: HEADER_TIMEOUT_MS,
       idleTimeoutMs: IDLE_TIMEOUT_MS,
     },
     access: {
@@ -63,7 +64,7 @@
     idempotent: route.idempotent,
     timeoutMs: deadlines.maxMs,
     defaultDeadlineMs: deadlines.defaultMs,
-    // What callers usually wait for is also what they want to be answered in.
+    // Callers usually wait for the default deadline, so it is also the goal.
     goalMs: deadlines.defaultMs,
     maxAttempts: retry.maxAttempts,
     priority: 0,
--- a/packages/declarations/src/render.ts
+++ b/packages/declarations/src/render.ts
@@ -1,13 +1,13 @@
 /**
- * A configuration in the form that operators write, with every default filled
- * in: for showing what is in force and for comparing it field by field.
+ * Renders a configuration as declarations with all defaults filled in, to show
+ * the configuration in force and to compare configurations field by field.
  */
 import { stringify } from "yaml";
 import { DIGEST_PREFIX } from "./client_account_schema.ts";
 import type { ClientAccount, Configuration, Template } from "./template.ts";
 import { formatDuration, formatRate, formatSize } from "./units.ts";
 
-/** A document as plain values, in the order in which operators read it. */
+/** A document as plain values, with its fields in display order. */
 export type RenderedDocument = Readonly<Record<string, unknown>>;
 
 export function renderTemplate(template: Template): RenderedDocument {
@@ -55,7 +55,7 @@
   };
 }
 
-/** The whole as one file of YAML, which validates to the same configuration. */
+/** Renders one YAML file, which validates to the same configuration. */
 export function renderConfiguration(configuration: Configuration): string {
   const documents = [
     ...configuration.templates.map(renderTemplate),
--- a/packages/declarations/src/route_conflicts.ts
+++ b/packages/declarations/src/route_conflicts.ts
@@ -1,4 +1,4 @@
-/** Routes of which two could match one request. */
+/** Detects routes that can match the same request. */
 import type { DeclarationFault } from "./declaration_fault.ts";
 import type { ValidDocument } from "./schema_checks.ts";
 import { formatLocation, type Occurrence } from "./occurrence.ts";
@@ -10,7 +10,7 @@
   readonly template: string;
 }
 
-/** Within one template and across all of them. */
+/** Compares all routes, both within a template and across templates. */
 export function checkRouteConflicts(
   templates: readonly ValidDocument<TemplateDocument>[],
 ): readonly DeclarationFault[] {
@@ -19,7 +19,7 @@
     const earlier = routes.slice(0, index).find((other) =>
       other.method === route.method && hasPathOverlap(other.value, route.value)
     );
-    return earlier === undefined ? [] : [createRouteFault(route, earlier)];
+    return earlier === undefined ? [] : [createConflictFault(route, earlier)];
   });
 }
 
@@ -35,7 +35,7 @@
   }));
 }
 
-function createRouteFault(
+function createConflictFault(
   route: RouteOccurrence,
   earlier: RouteOccurrence,
 ): DeclarationFault {
@@ -44,6 +44,6 @@
     `${route.method} ${route.value}, which can match the same request as ${earlier.method} ${earlier.value} of template ${
       JSON.stringify(earlier.template)
     } at ${formatLocation(earlier)}`,
-    "routes of which at most one matches any request",
+    "routes of which no two match the same request",
   );
 }
--- a/packages/declarations/src/route_path.ts
+++ b/packages/declarations/src/route_path.ts
@@ -1,8 +1,8 @@
-/** Paths of routes: what is allowed, and when two of them can meet. */
+/** Validates paths of routes and detects paths that overlap. */
 
 export const KEY_SEGMENT = "{key}";
 
-/** First segments that instances answer themselves. */
+/** First segments of paths that instances serve themselves. */
 export const RESERVED_SEGMENTS: readonly string[] = [
   "admin",
   "health",
@@ -14,14 +14,14 @@
 ];
 
 export const ROUTE_PATH_ALLOWED =
-  `a path such as /case-files/{key}/demands: exactly one segment is {key}, the first is none of {key}, ${
+  `a path such as /case-files/{key}/demands with exactly one segment {key}, a first segment other than {key}, ${
     RESERVED_SEGMENTS.join(", ")
-  }, the others hold only letters, digits and . _ ~ -, and no / stands at the end`;
+  }, only letters, digits and . _ ~ - in the other segments, and no / at the end`;
 
 const LITERAL_SEGMENT_PATTERN = /^[A-Za-z0-9_~-][A-Za-z0-9._~-]*$/;
 const MAX_PATH_CHARACTERS = 512;
 
-/** Whether `path` may stand in a route. */
+/** Whether `path` is a valid path for a route. */
 export function isValidRoutePath(path: string): boolean {
   if (!path.startsWith("/") || path.length > MAX_PATH_CHARACTERS) {
     return false;
@@ -36,21 +36,21 @@
 }
 
 /**
- * Whether one request path can match both: then nobody could say which
- * template serves it, and a non-idempotent request could pass as idempotent.
+ * Whether one request path can match both paths. Such routes are rejected: the
+ * template that serves the request would be ambiguous, and a non-idempotent
+ * request could be treated as idempotent.
  */
 export function hasPathOverlap(a: string, b: string): boolean {
   const left = splitRoutePath(a);
   const right = splitRoutePath(b);
   return left.length === right.length &&
-    left.every((segment, index) => matchSegments(segment, right[index]));
+    left.every((segment, index) => hasSegmentOverlap(segment, right[index]));
 }
 
-function matchSegments(a: string, b: string | undefined): boolean {
+function hasSegmentOverlap(a: string, b: string | undefined): boolean {
   return a === b || a === KEY_SEGMENT || b === KEY_SEGMENT;
 }
 
-/** The segments between the slashes. */
 export function splitRoutePath(path: string): readonly string[] {
   return path.slice(1).split("/");
 }
--- a/packages/declarations/src/schema_checks.ts
+++ b/packages/declarations/src/schema_checks.ts
@@ -1,4 +1,4 @@
-/** Documents checked one by one against the schema of their kind. */
+/** Checks each document against the schema of its kind. */
 import type { z } from "zod";
 import {
   type ClientAccountDocument,
@@ -8,19 +8,19 @@
 import { formatPath, type SourceDocument } from "./document_source.ts";
 import { type TemplateDocument, templateSchema } from "./template_schema.ts";
 
-/** A valid document together with where it stands. */
+/** A document that matches its schema, with its source. */
 export interface ValidDocument<Content> {
   readonly source: SourceDocument;
   readonly content: Content;
 }
 
+/** The valid documents by kind, and the faults of the others. */
 export interface SchemaCheckResult {
   readonly templates: readonly ValidDocument<TemplateDocument>[];
   readonly clientAccounts: readonly ValidDocument<ClientAccountDocument>[];
   readonly faults: readonly DeclarationFault[];
 }
 
-/** Sorts documents by kind and checks each against its schema. */
 export function checkSchemas(
   sources: readonly SourceDocument[],
 ): SchemaCheckResult {
@@ -30,10 +30,10 @@
   for (const source of sources) {
     switch (source.getText("kind")) {
       case "Template":
-        takeDocument(source, templateSchema, { accepted: templates, faults });
+        checkDocument(source, templateSchema, { accepted: templates, faults });
         break;
       case "ClientAccount":
-        takeDocument(source, clientAccountSchema, {
+        checkDocument(source, clientAccountSchema, {
           accepted: clientAccounts,
           faults,
         });
@@ -46,15 +46,15 @@
   return { templates, clientAccounts, faults };
 }
 
-interface Sink<Content> {
+interface DocumentSink<Content> {
   readonly accepted: ValidDocument<Content>[];
   readonly faults: DeclarationFault[];
 }
 
-function takeDocument<Content>(
+function checkDocument<Content>(
   source: SourceDocument,
   schema: z.ZodType<Content>,
-  sink: Sink<Content>,
+  sink: DocumentSink<Content>,
 ): void {
   const parsed = schema.safeParse(source.value);
   if (parsed.success) {
@@ -94,15 +94,16 @@
 }
 
 /**
- * What stands where a digest belongs may be a credential in clear text. It is
- * not quoted, because messages end up in terminals and build logs.
+ * Describes the value at `path`. Does not quote a value in the position of a
+ * digest: it may be a credential in clear text, and messages end up in
+ * terminals and build logs.
  */
 function describeFound(
   path: readonly PropertyKey[],
   value: unknown,
 ): string {
   return path[0] === "credentialDigests" && typeof value === "string"
-    ? `a text of ${value.length} characters that is no digest`
+    ? `a string of ${value.length} characters that is not a digest`
     : describeValue(value);
 }
 
--- a/packages/declarations/src/semantic_checks.ts
+++ b/packages/declarations/src/semantic_checks.ts
@@ -1,6 +1,8 @@
 /**
- * What no single document shows: names used twice, routes that meet,
- * references to nothing, credentials shared by two client accounts.
+ * Semantic checks, which a schema of a single document cannot express:
+ * duplicate names, overlapping routes, inconsistent durations, references to
+ * undeclared templates, credentials shared by two client accounts, and changes
+ * of a shard count that is in force.
  */
 import type { ClientAccountDocument } from "./client_account_schema.ts";
 import type { DeclarationFault } from "./declaration_fault.ts";
@@ -11,7 +13,7 @@
 import type { Configuration } from "./template.ts";
 import type { TemplateDocument } from "./template_schema.ts";
 
-/** Everything read, valid or not, and what is in force if that is known. */
+/** All documents, valid or not, and the configuration in force if known. */
 export interface SemanticCheckInput {
   readonly sources: readonly SourceDocument[];
   readonly documents: SchemaCheckResult;
@@ -19,26 +21,29 @@
 }
 
 export function checkSemantics(
-  context: SemanticCheckInput,
+  input: SemanticCheckInput,
 ): readonly DeclarationFault[] {
-  const { templates, clientAccounts } = context.documents;
-  const known = listTemplateNames(context.sources);
+  const { templates, clientAccounts } = input.documents;
+  const templateNames = listTemplateNames(input.sources);
   return [
-    ...checkNames(context.sources),
+    ...checkUniqueNames(input.sources),
     ...checkRouteConflicts(templates),
-    ...templates.flatMap(checkDurations),
+    ...templates.flatMap(checkTemplateValues),
     ...clientAccounts.flatMap((account) =>
-      checkAccountTemplates(account, known)
+      checkTemplateReferences(account, templateNames)
     ),
-    ...checkCredentials(clientAccounts),
+    ...checkUniqueCredentials(clientAccounts),
     ...templates.flatMap((template) =>
-      checkShardCount(template, context.inForce)
+      checkShardCount(template, input.inForce)
     ),
   ];
 }
 
-/** Also documents with other faults count, so that none hides a second one. */
-function checkNames(
+/**
+ * Checks that names are unique. Includes documents with other faults, so that
+ * duplicates are reported in the same run as those faults.
+ */
+function checkUniqueNames(
   sources: readonly SourceDocument[],
 ): readonly DeclarationFault[] {
   const occurrences = sources.flatMap((source) => {
@@ -50,13 +55,13 @@
   });
   return listDuplicateFaults(occurrences, (earlier) => ({
     found: `a second ${earlier.value}`,
-    allowed: `one document for each name; the first is at ${
+    allowed: `one document per name; the first is at ${
       formatLocation(earlier)
     }`,
   }));
 }
 
-function checkDurations(
+function checkTemplateValues(
   { source, content }: ValidDocument<TemplateDocument>,
 ): readonly DeclarationFault[] {
   const { deadlines, limits, placement } = content;
@@ -72,7 +77,7 @@
     faults.push(source.createFault(
       ["limits", "maxQueueTime"],
       `${limits.maxQueueTime}ms, more than deadlines.max of ${deadlines.max}ms`,
-      "a duration up to deadlines.max, since nobody waits longer",
+      "a duration up to deadlines.max, because no caller waits longer",
     ));
   }
   if (Object.values(placement).every((weight) => weight === 0)) {
@@ -85,7 +90,10 @@
   return faults;
 }
 
-/** Also of templates with faults, so that one fault does not make many. */
+/**
+ * Includes templates with faults, so that a fault in a template is not reported
+ * again for each reference to the template.
+ */
 function listTemplateNames(
   sources: readonly SourceDocument[],
 ): readonly string[] {
@@ -94,9 +102,9 @@
     .flatMap((source) => source.getText("name") ?? []);
 }
 
-function checkAccountTemplates(
+function checkTemplateReferences(
   { source, content }: ValidDocument<ClientAccountDocument>,
-  known: readonly string[],
+  templateNames: readonly string[],
 ): readonly DeclarationFault[] {
   const occurrences = content.templates.map(({ template }, index) => ({
     value: template,
@@ -104,25 +112,25 @@
     path: ["templates", index, "template"],
   }));
   const unknown = occurrences
-    .filter(({ value }) => !known.includes(value))
+    .filter(({ value }) => !templateNames.includes(value))
     .map(({ value, path }) =>
       source.createFault(
         path,
         `${JSON.stringify(value)}, which no document declares`,
-        known.length === 0
-          ? "the name of a declared template, and none is declared"
-          : `the name of a declared template: ${known.join(", ")}`,
+        templateNames.length === 0
+          ? "the name of a declared template, but no template is declared"
+          : `the name of a declared template: ${templateNames.join(", ")}`,
       )
     );
   const repeated = listDuplicateFaults(occurrences, (earlier) => ({
     found: `${JSON.stringify(earlier.value)} a second time`,
-    allowed: "each template once for each client account",
+    allowed: "each template at most once per client account",
   }));
   return [...unknown, ...repeated];
 }
 
-/** A credential names one client account, or its caller could not be told. */
-function checkCredentials(
+/** A shared credential would not identify the client account of a request. */
+function checkUniqueCredentials(
   accounts: readonly ValidDocument<ClientAccountDocument>[],
 ): readonly DeclarationFault[] {
   const occurrences = accounts.flatMap(({ source, content }) =>
@@ -133,14 +141,15 @@
     }))
   );
   return listDuplicateFaults(occurrences, (earlier) => ({
-    found: `the digest that also stands at ${formatLocation(earlier)}`,
-    allowed: "a credential of its own for each client account",
+    found: `the same digest as at ${formatLocation(earlier)}`,
+    allowed: "a different credential for each client account",
   }));
 }
 
 /**
- * Keys are spread over the shards by their hash, so another count would give
- * nearly every key another owner at once, while the old one still holds it.
+ * The hash of a key determines its shard, so a different shard count would
+ * change the owner of nearly every key at once, while the previous owners still
+ * hold the keys.
  */
 function checkShardCount(
   { source, content }: ValidDocument<TemplateDocument>,
@@ -154,6 +163,6 @@
   return [source.createFault(
     ["shardCount"],
     `${content.shardCount}`,
-    `${current.shardCount}, which is in force and fixed for the life of a template; declare a new template under another name instead`,
+    `${current.shardCount}, which is in force and cannot change for an existing template; declare a new template under another name instead`,
   )];
 }
--- a/packages/declarations/src/template.ts
+++ b/packages/declarations/src/template.ts
@@ -1,36 +1,36 @@
 /**
- * What operators declare, after validation: one template for each kind of
- * traffic, and the parameters of each client account. All fields are present;
- * defaults have been resolved. Times are milliseconds.
+ * Types of a validated configuration: one template for each kind of traffic,
+ * and the parameters of each client account. All fields are present, because
+ * defaults are already filled in. Times are in milliseconds.
  */
 import type { AccountAllowance } from "@lentilspur/ports/routing_table";
 
-/** One way in: a method and a path that holds the key. */
+/** An HTTP method and a path pattern that contains the key. */
 export interface Route {
   readonly method: string;
   /** Such as `/case-files/{key}/demands`; exactly one segment is `{key}`. */
   readonly path: string;
-  /** True only where a second run has no further effect. */
+  /** True only if a repeated request has no further effect. */
   readonly idempotent: boolean;
 }
 
 export interface TemplateLimits {
   readonly maxBodyBytes: number;
   readonly maxAnswerBytes: number;
-  /** Requests waiting for one target, over all client accounts. */
+  /** Most requests that wait for one target, over all client accounts. */
   readonly maxQueuedPerTarget: number;
-  /** Longest stay in a target's queue. */
+  /** Longest time that a request waits in a target's queue. */
   readonly maxQueueMs: number;
 }
 
 export interface TemplateDeadlines {
-  /** Granted to a caller that names none. */
+  /** Deadline of requests that specify none. */
   readonly defaultMs: number;
-  /** The most that a caller may ask for. */
+  /** Longest deadline that a caller may request. */
   readonly maxMs: number;
 }
 
-/** How much each evil weighs when units are placed; any scale. */
+/** Relative weights of the costs of assigning keys to targets; any scale. */
 export interface PlacementWeights {
   readonly imbalance: number;
   readonly churn: number;
@@ -38,7 +38,7 @@
 }
 
 export interface RetryPolicy {
-  /** Retries of lookups as a share of first sends, 0 to 1. */
+  /** Retries as a share of first attempts, 0 to 1. */
   readonly budgetRatio: number;
   readonly maxAttempts: number;
 }
@@ -46,24 +46,24 @@
 export interface Template {
   readonly name: string;
   readonly routes: readonly Route[];
-  /** Fixed for the life of the template. */
+  /** Cannot change once the template is published. */
   readonly shardCount: number;
-  /** Requests that one target runs at a time. */
+  /** Requests that one target runs concurrently. */
   readonly placesPerTarget: number;
   readonly deadlines: TemplateDeadlines;
   readonly limits: TemplateLimits;
   readonly placement: PlacementWeights;
   readonly retry: RetryPolicy;
-  /** Keys that may be placed on their own at one time. */
+  /** Most hot keys that are assigned individually at one time. */
   readonly maxHotKeys: number;
   /**
-   * Order in which templates of this kind leave a draining target; lower
-   * leaves first.
+   * Order in which the keys of templates leave a draining target; lower leaves
+   * first.
    */
   readonly drainPriority: number;
 }
 
-/** What a client account may ask of one template. */
+/** Limits of a client account for one template. */
 export interface AccountTemplateParameters extends AccountAllowance {
   readonly template: string;
 }
@@ -75,13 +75,13 @@
   readonly templates: readonly AccountTemplateParameters[];
 }
 
-/** Everything in force at one version. */
+/** All templates and client accounts of one version. */
 export interface Configuration {
   readonly templates: readonly Template[];
   readonly clientAccounts: readonly ClientAccount[];
 }
 
-/** One changed document; `content` is null where it was removed. */
+/** A changed document; `content` is null if the document was removed. */
 export type DocumentChange =
   | {
     readonly kind: "template";
--- a/packages/declarations/src/template_schema.ts
+++ b/packages/declarations/src/template_schema.ts
@@ -1,4 +1,4 @@
-/** The form of a `kind: Template` document, and the template it makes. */
+/** Schema of `kind: Template` documents, and their conversion. */
 import { z } from "zod";
 import { TEMPLATE_DEFAULTS } from "./defaults.ts";
 import {
@@ -13,13 +13,13 @@
 import { isValidRoutePath, ROUTE_PATH_ALLOWED } from "./route_path.ts";
 import type { Template } from "./template.ts";
 
-/** The fold keeps an owner for each shard: 65536 bound its memory. */
+/** An owner per shard is kept in memory; 65,536 shards bound that memory. */
 export const MAX_SHARD_COUNT = 65_536;
 
-/** Beyond ten minutes a caller has long given up. */
+/** At most 10 minutes, because no caller waits longer. */
 const durationSchema = createDurationSchema({ min: 1, max: 600_000 });
 
-/** Bodies are held in memory while they wait, so they stay small. */
+/** At most 16 MiB, because bodies are held in memory while requests wait. */
 const sizeSchema = createSizeSchema({ min: 1, max: 16 * 1_048_576 });
 
 const weightSchema = createNumberSchema({ min: 0, max: 1_000 });
@@ -31,7 +31,7 @@
   path: z
     .string({ error: ROUTE_PATH_ALLOWED })
     .refine(isValidRoutePath, { error: ROUTE_PATH_ALLOWED }),
-  /** No default: whoever adds a route has to decide this. */
+  /** Required, so that the author of each route makes the decision. */
   idempotent: booleanSchema,
 });
 
@@ -39,7 +39,7 @@
 
 const defaults = TEMPLATE_DEFAULTS;
 
-/** The document; its output is resolved but not yet in the template's shape. */
+/** Fills in defaults and parses units; `toTemplate` converts the output. */
 export const templateSchema = createObjectSchema({
   kind: z.literal("Template"),
   name: nameSchema,
@@ -80,7 +80,7 @@
 
 export type TemplateDocument = z.output<typeof templateSchema>;
 
-/** Gives a valid document the shape that the rest of the system reads. */
+/** Converts a valid document into the template that the system uses. */
 export function toTemplate(document: TemplateDocument): Template {
   const { deadlines, limits } = document;
   return {
--- a/packages/declarations/src/units.ts
+++ b/packages/declarations/src/units.ts
@@ -1,16 +1,16 @@
 /**
- * Quantities as operators write them: a whole number and a unit, such as
- * `1500ms`, `64KiB` or `200/s`. A bare number is refused, because nobody can
- * tell from `timeout: 5` whether seconds or milliseconds were meant.
+ * Parses and formats quantities: a whole number followed by a unit, such as
+ * `1500ms`, `64KiB` or `200/s`. A number without a unit is rejected, because
+ * `timeout: 5` does not say whether seconds or milliseconds are meant.
  */
 
 interface Unit {
   readonly name: string;
-  /** How many of the base unit it holds. */
+  /** Size of the unit, in base units (ms, bytes or seconds). */
   readonly factor: number;
 }
 
-/** Largest first, so that formatting finds the shortest text. */
+/** Largest first, so that formatting finds the shortest representation. */
 const DURATION_UNITS: readonly Unit[] = [
   { name: "h", factor: 3_600_000 },
   { name: "min", factor: 60_000 },
@@ -24,17 +24,17 @@
   { name: "B", factor: 1 },
 ];
 
-/** Seconds in the period of a rate. Smallest first: `200/s` is the usual way. */
+/** Rate periods in seconds. Smallest first, as `200/s` is the usual form. */
 const RATE_PERIODS: readonly Unit[] = [
   { name: "s", factor: 1 },
   { name: "min", factor: 60 },
   { name: "h", factor: 3_600 },
 ];
 
-/** Nine digits keep every product within the safe integers. */
+/** At most 9 digits, so that every product is a safe integer. */
 const QUANTITY_PATTERN = /^([0-9]{1,9})(\/?)([A-Za-z]+)$/;
 
-/** Returns milliseconds, or `undefined` where `text` is no duration. */
+/** Returns milliseconds, or `undefined` if `text` is not a duration. */
 export function parseDuration(text: string): number | undefined {
   return parseQuantity(text, DURATION_UNITS);
 }
@@ -43,7 +43,7 @@
   return formatQuantity(ms, DURATION_UNITS);
 }
 
-/** Returns bytes, or `undefined` where `text` is no size. */
+/** Returns bytes, or `undefined` if `text` is not a size. */
 export function parseSize(text: string): number | undefined {
   return parseQuantity(text, SIZE_UNITS);
 }
@@ -52,7 +52,7 @@
   return formatQuantity(bytes, SIZE_UNITS);
 }
 
-/** Returns events a second, or `undefined` where `text` is no rate. */
+/** Returns events per second, or `undefined` if `text` is not a rate. */
 export function parseRate(text: string): number | undefined {
   const match = QUANTITY_PATTERN.exec(text);
   if (match === null || match[2] !== "/") {
@@ -62,7 +62,7 @@
   return period === undefined ? undefined : Number(match[1]) / period.factor;
 }
 
-/** Chooses the shortest period in which the rate is a whole number. */
+/** Uses the shortest period in which the rate is a whole number. */
 export function formatRate(perSecond: number): string {
   for (const { name, factor } of RATE_PERIODS) {
     const count = Math.round(perSecond * factor);
--- a/packages/declarations/src/validate.ts
+++ b/packages/declarations/src/validate.ts
@@ -1,7 +1,7 @@
 /**
- * From files to a configuration, or to everything that is wrong with them.
- * Nothing may be published unless all of it is valid, so there is no partial
- * result.
+ * Validates declaration files and returns either a configuration or all faults.
+ * There is no partial result, because a configuration may be published only if
+ * all files are valid.
  */
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import { toClientAccount } from "./client_account_schema.ts";
@@ -20,8 +20,8 @@
 import { toTemplate } from "./template_schema.ts";
 
 /**
- * Checks `files` as one whole. `inForce` is what they are to replace; without
- * it, fields that are fixed for life cannot be checked.
+ * Validates `files` together. `inForce` is the configuration that they replace;
+ * without it, changes to immutable fields are not detected.
  */
 export function validateDeclarations(
   files: readonly DeclarationFile[],
--- a/packages/declarations/src/validate_test.ts
+++ b/packages/declarations/src/validate_test.ts
@@ -49,14 +49,14 @@
   assert.deepEqual(account?.credentialDigests, ["ab".repeat(32)]);
 });
 
-/** A change that breaks the text, and where the message must point. */
+/** An edit that makes the text invalid, and the expected fault. */
 interface Broken {
   readonly name: string;
   readonly from: string;
   readonly to: string;
   readonly path: string;
   readonly found: RegExp;
-  /** Text of the line that the message must name. */
+  /** Text of the line that the fault must point to. */
   readonly at: string;
 }
 
@@ -78,7 +78,7 @@
     at: "  default: 500",
   },
   {
-    name: "a unit that is none",
+    name: "a space before the unit",
     from: "default: 500ms",
     to: "default: 500 ms",
     path: "deadlines.default",
@@ -94,7 +94,7 @@
     at: "    rate: 20",
   },
   {
-    name: "a reference to nothing",
+    name: "a reference to an undeclared template",
     from: "template: ledger",
     to: "template: leger",
     path: "templates[0].template",
@@ -118,7 +118,7 @@
     at: "    path: /ledger",
   },
   {
-    name: "a path that instances answer themselves",
+    name: "a path that instances serve themselves",
     from: "/ledger/{key}",
     to: "/metrics/{key}",
     path: "routes[0].path",
@@ -126,7 +126,7 @@
     at: "    path: /metrics/{key}",
   },
   {
-    name: "no decision on idempotence",
+    name: "a route without idempotent",
     from: "    idempotent: true\n",
     to: "",
     path: "routes[0].idempotent",
@@ -134,7 +134,7 @@
     at: "  - method: GET",
   },
   {
-    name: "a shard count outside its bounds",
+    name: "a shard count out of range",
     from: "shardCount: 64",
     to: "shardCount: 65537",
     path: "shardCount",
@@ -142,7 +142,7 @@
     at: "shardCount: 65537",
   },
   {
-    name: "a default deadline above the highest",
+    name: "a default deadline above the maximum",
     from: "default: 500ms",
     to: "default: 3s",
     path: "deadlines.default",
@@ -150,7 +150,7 @@
     at: "  default: 3s",
   },
   {
-    name: "a second route that meets the first",
+    name: "a second route that overlaps the first",
     from: "    idempotent: true\n",
     to:
       "    idempotent: true\n  - method: GET\n    path: /ledger/{key}\n    idempotent: false\n",
@@ -167,17 +167,17 @@
     at: "kind: Client",
   },
   {
-    name: "a field named twice",
+    name: "a duplicate field",
     from: "shardCount: 64",
     to: "shardCount: 64\nshardCount: 32",
     path: "",
-    found: /a fault of syntax/,
+    found: /a syntax error/,
     at: "shardCount: 32",
   },
 ];
 
 for (const broken of BROKEN) {
-  test(`refuses ${broken.name} and names its line`, () => {
+  test(`rejects ${broken.name} and reports its line`, () => {
     const valid = `${TEMPLATE}---\n${ACCOUNT}`;
     const text = valid.replace(broken.from, broken.to);
     assert.notEqual(text, valid);
@@ -190,15 +190,15 @@
   });
 }
 
-test("refuses one name in two files and says where the first stands", () => {
+test("rejects the same name in two files and reports the first location", () => {
   const [fault] = listFaults(TEMPLATE, TEMPLATE.replace("/ledger/", "/other/"));
   assert.equal(
     fault && formatDeclarationFault(fault),
-    'f1.yaml:2:7: name: found a second Template "ledger"; allowed is one document for each name; the first is at f0.yaml:2',
+    'f1.yaml:2:7: name: found a second Template "ledger"; expected one document per name; the first is at f0.yaml:2',
   );
 });
 
-test("refuses routes of two templates that can match one request", () => {
+test("rejects routes of two templates that can match the same request", () => {
   const other = TEMPLATE.replace("name: ledger", "name: other")
     .replace("/ledger/{key}", "/ledger/x");
   const [fault] = listFaults(TEMPLATE, other.replace("/x", "/{key}"));
@@ -206,15 +206,15 @@
   assert.match(fault?.found ?? "", /of template "ledger" at f0\.yaml:6/);
 });
 
-test("lets routes meet in path where their methods differ", () => {
+test("accepts overlapping paths with different methods", () => {
   const other = TEMPLATE.replace("name: ledger", "name: other")
     .replace("method: GET", "method: POST");
   assert.deepEqual(listFaults(TEMPLATE, other), []);
 });
 
-test("never quotes what may be a credential in clear text", () => {
-  // An operator pastes the credential where its digest belongs. The refusal
-  // is printed by a build that many can read, so it must not hold the value.
+test("does not quote a value that may be a credential in clear text", () => {
+  // An operator pastes the credential in place of its digest. The fault is
+  // printed in build logs that many people can read.
   const faults = listFaults(
     TEMPLATE,
     ACCOUNT.replace(DIGEST, "hunter2-hunter2"),
@@ -224,16 +224,16 @@
   assert.match(faults[0]?.allowed ?? "", /lentilspur credential/);
 });
 
-test("refuses a credential that two client accounts share", () => {
+test("rejects a credential that two client accounts share", () => {
   const [fault] = listFaults(
     TEMPLATE,
     ACCOUNT,
     ACCOUNT.replace("name: nile", "name: awash"),
   );
-  assert.equal(fault?.found, "the digest that also stands at f1.yaml:4");
+  assert.equal(fault?.found, "the same digest as at f1.yaml:4");
 });
 
-test("refuses another shard count than the one in force", () => {
+test("rejects a shard count other than the one in force", () => {
   const inForce = validateDeclarations([{ name: "a", text: TEMPLATE }]);
   assert.ok(inForce.ok);
   const files = [{
@@ -246,7 +246,7 @@
   assert.match(result.val[0]?.allowed ?? "", /^64, which is in force/);
 });
 
-test("tells the faults of all files at once, in order", () => {
+test("reports the faults of all files together, in order", () => {
   const faults = listFaults(
     TEMPLATE.replace("64", "many"),
     "kind: [",
@@ -258,7 +258,7 @@
   );
 });
 
-test("refuses anchors and aliases", () => {
+test("rejects anchors and aliases", () => {
   const [fault] = listFaults(
     `${TEMPLATE}limits:\n  maxBody: &size 1KiB\n  maxAnswer: *size\n`,
   );
@@ -266,7 +266,7 @@
   assert.equal(fault?.line, 12);
 });
 
-test("warns of what is valid but seldom meant", () => {
+test("warns about a non-idempotent GET and an unused template", () => {
   const text = TEMPLATE.replace("idempotent: true", "idempotent: false");
   const result = validateDeclarations([{ name: "a.yaml", text }]);
   assert.ok(result.ok);
--- a/packages/declarations/src/warnings.ts
+++ b/packages/declarations/src/warnings.ts
@@ -1,53 +1,56 @@
 /**
- * What is valid but seldom meant. Warnings stop nothing; `check` shows
- * them.
+ * Lists warnings: declarations that are valid but probably not intended.
+ * `lentilspur check` prints warnings; they do not prevent publication.
  */
 import { TEMPLATE_DEFAULTS } from "./defaults.ts";
 import type { ClientAccount, Configuration, Template } from "./template.ts";
 
-/** Each is one sentence. */
+/** Returns one sentence for each warning. */
 export function listWarnings(configuration: Configuration): readonly string[] {
   const { templates, clientAccounts } = configuration;
   return [
     ...templates.flatMap(listRouteWarnings),
-    ...templates.flatMap(listUnusedFields),
+    ...templates.flatMap(listFieldWarnings),
     ...templates
-      .filter(({ name }) => !isAllowedToAnyone(name, clientAccounts))
+      .filter(({ name }) => !isAllowedForAnyAccount(name, clientAccounts))
       .map(({ name }) => `No client account may use template "${name}"`),
   ];
 }
 
-/** Browsers, proxies and client libraries repeat a GET without asking. */
+/** Browsers, proxies and client libraries retry a GET on their own. */
 function listRouteWarnings(template: Template): readonly string[] {
   return template.routes
     .filter(({ method, idempotent }) => method === "GET" && !idempotent)
     .map(({ path }) =>
-      `Template "${template.name}" declares GET ${path} as non-idempotent, but callers' tools repeat GET freely; use POST where a second run does harm`
+      `Template "${template.name}" declares GET ${path} as non-idempotent, but browsers, proxies and client libraries retry GET on their own; use POST if a repeated request does harm`
     );
 }
 
-/** Kept valid, so that declarations need no change; they decide nothing. */
-const UNUSED = {
-  placesPerTarget: "each target says itself how many requests it runs",
-  placement: "keys move by how busy their owners are",
-  maxHotKeys: "hot ranges are split as far as it helps",
+/**
+ * Fields without effect, with the reason. The schema still accepts them, so
+ * that existing declarations stay valid.
+ */
+const IGNORED_FIELDS = {
+  placesPerTarget: "each target reports how many requests it can run",
+  placement: "keys are moved according to the utilization of their owners",
+  maxHotKeys: "hotspots are split for as long as splitting reduces load",
   drainPriority: "all keys of a leaving target move at once",
 } as const;
 
-function listUnusedFields(template: Template): readonly string[] {
-  return (Object.keys(UNUSED) as (keyof typeof UNUSED)[])
+function listFieldWarnings(template: Template): readonly string[] {
+  return (Object.keys(IGNORED_FIELDS) as (keyof typeof IGNORED_FIELDS)[])
     .filter((field) =>
       JSON.stringify(template[field]) !==
         JSON.stringify(TEMPLATE_DEFAULTS[field])
     )
     .map((field) =>
       `Template "${template.name}" declares ${field}, which has no effect: ${
-        UNUSED[field]
+        IGNORED_FIELDS[field]
       }`
     );
 }
 
-function isAllowedToAnyone(
+function isAllowedForAnyAccount(
   template: string,
   accounts: readonly ClientAccount[],
 ): boolean {
--- a/packages/proof/src/audit.ts
+++ b/packages/proof/src/audit.ts
@@ -1,14 +1,14 @@
 /**
- * Whether promises were kept, from the lines of all instances alone:
+ * Checks the guarantees of the router from the log lines of all instances:
  *
- * - a request that is not idempotent has run once at most;
- * - whoever was told "not run" was told the truth;
- * - an answer that was passed on came from a target;
- * - a fencing token belongs to one target, so a key had one owner at a time;
- * - a configuration never went back.
+ * - a non-idempotent request runs at most once;
+ * - a request that is reported to the caller as "not run" has not run;
+ * - a response that is forwarded to a caller comes from a target;
+ * - a fencing token belongs to one target, so a key has one owner at a time;
+ * - the configuration version of an instance never decreases between restarts.
  *
- * What the lines cannot show, because some were dropped or are missing, is
- * said along with the findings.
+ * Dropped or missing log lines can hide violations, so the report contains
+ * their number along with the findings.
  */
 import {
   ERROR_RESPONSES,
@@ -32,7 +32,7 @@
 
 export interface Finding {
   readonly promise: AuditedPromise;
-  /** One sentence with the ids by which the lines are found. */
+  /** One sentence with the ids that identify the log lines. */
   readonly message: string;
 }
 
@@ -40,94 +40,99 @@
   readonly requests: number;
   readonly sends: number;
   readonly findings: readonly Finding[];
-  /** Lines that instances say they dropped, or that are missing in between. */
+  /** Lines that instances report as dropped, and gaps in sequence numbers. */
   readonly missingLines: number;
   readonly unreadableLines: number;
 }
 
-interface RequestTrail {
+interface RequestLog {
   readonly sends: SendLine[];
   readonly finals: FinalLine[];
 }
 
 export function checkPromises(
-  { lines, unreadableCount: unreadable }: ParsedLines,
+  { lines, unreadableCount }: ParsedLines,
 ): AuditReport {
-  const trails = collectTrails(lines);
-  const sends = [...trails.values()].flatMap((trail) => trail.sends);
+  const logs = groupByRequest(lines);
+  const sends = [...logs.values()].flatMap((log) => log.sends);
   return {
-    requests: trails.size,
+    requests: logs.size,
     sends: sends.length,
     findings: [
-      ...[...trails].flatMap(([id, trail]) => checkTrail(id, trail)),
+      ...[...logs].flatMap(([id, log]) => checkRequest(id, log)),
       ...checkOwners(sends),
       ...checkConfigurations(lines),
     ],
-    missingLines: countMissing(lines),
-    unreadableLines: unreadable,
+    missingLines: countMissingLines(lines),
+    unreadableLines: unreadableCount,
   };
 }
 
-function collectTrails(
+function groupByRequest(
   lines: readonly LogLine[],
-): ReadonlyMap<string, RequestTrail> {
-  const trails = new Map<string, RequestTrail>();
-  const getTrail = (id: string): RequestTrail => {
-    const trail = trails.get(id) ?? { sends: [], finals: [] };
-    trails.set(id, trail);
-    return trail;
+): ReadonlyMap<string, RequestLog> {
+  const logs = new Map<string, RequestLog>();
+  const getLog = (id: string): RequestLog => {
+    const log = logs.get(id) ?? { sends: [], finals: [] };
+    logs.set(id, log);
+    return log;
   };
   for (const line of lines) {
     const send = toSendLine(line);
     const final = toFinalLine(line);
     if (send !== undefined) {
-      getTrail(send.requestId).sends.push(send);
+      getLog(send.requestId).sends.push(send);
     } else if (final !== undefined) {
-      getTrail(final.requestId).finals.push(final);
+      getLog(final.requestId).finals.push(final);
     }
   }
-  return trails;
+  return logs;
 }
 
-function checkTrail(
+function checkRequest(
   id: string,
-  { sends, finals }: RequestTrail,
+  { sends, finals }: RequestLog,
 ): readonly Finding[] {
   const findings: Finding[] = [];
   const mayHaveRun = sends.filter(({ outcome }) => outcome !== "not-run");
-  const isOnceOnly = sends.some(({ idempotent }) => !idempotent);
-  if (isOnceOnly && mayHaveRun.length > 1) {
+  const isNonIdempotent = sends.some(({ idempotent }) => !idempotent);
+  if (isNonIdempotent && mayHaveRun.length > 1) {
     const targets = mayHaveRun.map(({ targetId }) => targetId).join(" and ");
-    const message = `"${id}" may have run more than once, on ${targets}`;
+    const message =
+      `request "${id}" may have run more than once, on ${targets}`;
     findings.push({ promise: "at-most-once", message });
   }
   for (const final of finals) {
-    if (isToldNotRun(final) && mayHaveRun.length > 0) {
+    if (isReportedNotRun(final) && mayHaveRun.length > 0) {
       const message =
-        `"${id}" was told "${final.outcome}", which says not run, after a send that may have run`;
+        `the caller of request "${id}" received "${final.outcome}", which means not run, after a send that may have run`;
       findings.push({ promise: "not-run-is-true", message });
     }
-    if (final.outcome === "answered" && !hasAnswer(sends, final)) {
-      const message = `"${id}" got an answer that no send of it gave`;
+    if (final.outcome === "answered" && !hasMatchingSend(sends, final)) {
+      const message =
+        `the caller of request "${id}" received a response that no send of the request returned`;
       findings.push({ promise: "own-answer", message });
     }
   }
   return findings;
 }
 
-function isToldNotRun({ outcome }: FinalLine): boolean {
+function isReportedNotRun({ outcome }: FinalLine): boolean {
   return ERROR_RESPONSES[outcome as ErrorKind]?.outcome === "not-run";
 }
 
-/** A line of the send may have been dropped; then nothing is held against it. */
-function hasAnswer(sends: readonly SendLine[], final: FinalLine): boolean {
+/** Without send lines, nothing is reported: they may have been dropped. */
+function hasMatchingSend(
+  sends: readonly SendLine[],
+  final: FinalLine,
+): boolean {
   return sends.length === 0 ||
     sends.some(({ outcome, status }) =>
       outcome === "answered" && status === final.status
     );
 }
 
-/** A token is given to one owner of one range; another needs a higher one. */
+/** Each owner of a range gets its own token; the next owner a higher one. */
 function checkOwners(sends: readonly SendLine[]): readonly Finding[] {
   const owners = new Map<string, string>();
   const findings: Finding[] = [];
@@ -135,12 +140,12 @@
     if (key === undefined || token === undefined) {
       continue;
     }
-    const name = `${service} key ${key} under token ${token}`;
-    const known = owners.get(name) ?? targetId;
-    owners.set(name, known);
-    if (known !== targetId) {
+    const grant = `${service} key ${key} under token ${token}`;
+    const owner = owners.get(grant) ?? targetId;
+    owners.set(grant, owner);
+    if (owner !== targetId) {
       const message =
-        `${name} was owned by ${known}, but "${requestId}" went to ${targetId}`;
+        `${grant} was owned by ${owner}, but request "${requestId}" was sent to ${targetId}`;
       findings.push({ promise: "sole-owner", message });
     }
   }
@@ -155,25 +160,26 @@
     if (event !== "configuration" || typeof version !== "number") {
       continue;
     }
-    const before = versions.get(incarnation) ?? -Infinity;
+    const previous = versions.get(incarnation) ?? -Infinity;
     versions.set(incarnation, version);
-    if (version <= before) {
-      const message = `${instance} went from version ${before} to ${version}`;
+    if (version <= previous) {
+      const message =
+        `${instance} went from configuration version ${previous} to ${version}`;
       findings.push({ promise: "configuration-stays", message });
     }
   }
   return findings;
 }
 
-/** Gaps in the count of one incarnation's lines, and what it dropped itself. */
-function countMissing(lines: readonly LogLine[]): number {
-  const last = new Map<string, number>();
+/** Sums gaps in the sequence numbers and lines reported as dropped. */
+function countMissingLines(lines: readonly LogLine[]): number {
+  const lastSequences = new Map<string, number>();
   const dropped = new Map<string, number>();
   let missing = 0;
   for (const line of lines) {
     const { incarnation, sequence, event } = line;
-    missing += sequence - (last.get(incarnation) ?? 0) - 1;
-    last.set(incarnation, sequence);
+    missing += sequence - (lastSequences.get(incarnation) ?? 0) - 1;
+    lastSequences.set(incarnation, sequence);
     if (event === "lines-dropped") {
       const count = Number(line["routine"] ?? 0) + Number(line["notable"] ?? 0);
       dropped.set(incarnation, count);
--- a/packages/proof/src/audit_test.ts
+++ b/packages/proof/src/audit_test.ts
@@ -6,7 +6,7 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Lines of one incarnation, a millisecond apart. */
+/** Formats lines of one incarnation, 1 ms apart. */
 function formatLines(incarnation: string, fields: readonly Fields[]): string {
   return fields.map((each, index) =>
     JSON.stringify({
@@ -46,18 +46,18 @@
   };
 }
 
-function checkDay(...incarnations: readonly (readonly Fields[])[]) {
+function runAudit(...incarnations: readonly (readonly Fields[])[]) {
   const texts = incarnations
     .map((fields, index) => formatLines(String(index), fields));
   return checkPromises(parseLines(texts));
 }
 
 function listPromises(...incarnations: readonly (readonly Fields[])[]) {
-  return checkDay(...incarnations).findings.map(({ promise }) => promise);
+  return runAudit(...incarnations).findings.map(({ promise }) => promise);
 }
 
-test("an ordinary day breaks nothing", () => {
-  const report = checkDay([
+test("log lines without a violation give no findings", () => {
+  const report = runAudit([
     { event: "configuration", version: 3 },
     makeSend("r1", { outcome: "not-run", cause: "full", status: undefined }),
     makeSend("r1", { attempt: 2, targetId: "t2" }),
@@ -74,8 +74,9 @@
   });
 });
 
-test("a deposit that may have run on two targets is found", () => {
-  // Its connection was reset after it was sent, and it was sent once more.
+test("finds a non-idempotent request that may have run on two targets", () => {
+  // The connection is reset after the request is sent, and the request is
+  // wrongly sent to another target.
   assert.deepEqual(
     listPromises([
       makeSend("r1", { outcome: "unknown", cause: "reset" }),
@@ -86,7 +87,7 @@
   );
 });
 
-test("a false not-run is found", () => {
+test("finds a response of not-run after a send that may have run", () => {
   assert.deepEqual(
     listPromises([
       makeSend("r1", { outcome: "unknown", cause: "silent" }),
@@ -96,7 +97,7 @@
   );
 });
 
-test("an answer of another request is found", () => {
+test("finds a response that no send of the request returned", () => {
   assert.deepEqual(
     listPromises([
       makeSend("r1", { outcome: "not-run", cause: "full" }),
@@ -106,7 +107,7 @@
   );
 });
 
-test("two owners under one token are found, across instances", () => {
+test("finds two owners under one token across instances", () => {
   const owned = { key: 9, token: 4 };
   assert.deepEqual(
     listPromises(
@@ -117,7 +118,7 @@
   );
 });
 
-test("a configuration that goes back is found, a restart is none", () => {
+test("finds a configuration version that decreases, except after a restart", () => {
   const [older, newer] = [3, 7].map((version) => ({
     event: "configuration",
     version,
@@ -126,7 +127,7 @@
   assert.deepEqual(listPromises([newer!, older!]), ["configuration-stays"]);
 });
 
-test("what is missing is said, not passed over", () => {
+test("counts missing and unreadable lines", () => {
   const [first, , third] = formatLines("a", [
     makeSend("r1"),
     makeFinal("r1"),
@@ -137,7 +138,7 @@
   assert.equal(report.unreadableLines, 1);
 });
 
-test("the story of a request shows what changed around it", () => {
+test("the timeline of a request includes related changes", () => {
   const { lines } = parseLines([formatLines("a", [
     { event: "target", targetId: "t1", service: "ledger", state: "leaving" },
     { event: "target", targetId: "t9", service: "ledger", state: "gone" },
@@ -145,11 +146,11 @@
     makeFinal("r1", { outcome: "answer-late", status: undefined }),
     makeFinal("r2"),
   ])]);
-  const story = describeRequest(lines, "r1").join("\n");
-  assert.match(story, /t1.*leaving/);
-  assert.match(story, /send 1 to t1 as the owner of key 9 under token 4/);
-  assert.match(story, /told answer-late/);
-  assert.match(story, /It may have run/);
-  assert.doesNotMatch(story, /t9|r2/);
+  const timeline = describeRequest(lines, "r1").join("\n");
+  assert.match(timeline, /t1.*leaving/);
+  assert.match(timeline, /send 1 to t1 as the owner of key 9 under token 4/);
+  assert.match(timeline, /final outcome: answer-late/);
+  assert.match(timeline, /It may have run/);
+  assert.doesNotMatch(timeline, /t9|r2/);
   assert.deepEqual(describeRequest(lines as readonly LogLine[], "r3"), []);
 });
--- a/packages/proof/src/explain.ts
+++ b/packages/proof/src/explain.ts
@@ -1,6 +1,7 @@
 /**
- * The story of one request from the lines of all instances: what happened to
- * it, and what changed around it that bears on its end.
+ * Builds the timeline of one request from the log lines of all instances: the
+ * events of the request, and changes shortly before its end that may have
+ * affected its outcome.
  */
 import {
   ERROR_RESPONSES,
@@ -14,10 +15,10 @@
   toSendLine,
 } from "./log_line.ts";
 
-/** What changed up to this long before a request's end may be its cause. */
+/** Changes up to 5 s before the end of a request may explain its outcome. */
 const CONTEXT_MS = 5_000;
-/** Events of the request's own instance that bear on any request. */
-const OWN_EVENTS: ReadonlySet<string> = new Set([
+/** Events that affect all requests of the instance that logs them. */
+const INSTANCE_EVENTS: ReadonlySet<string> = new Set([
   "start",
   "stop",
   "reload",
@@ -28,8 +29,8 @@
   "store-regained",
   "lines-dropped",
 ]);
-/** Events of any instance that bear on who owns the request's key. */
-const OWNER_EVENTS: ReadonlySet<string> = new Set([
+/** Events of any instance that can change the owner of the request's key. */
+const OWNERSHIP_EVENTS: ReadonlySet<string> = new Set([
   "keeper-claimed",
   "keeper-planned",
   "keeper-settled",
@@ -37,7 +38,7 @@
   "keeper-append-failed",
 ]);
 
-/** Empty where no line names the request. */
+/** Returns the timeline; empty if no log line has the request id. */
 export function describeRequest(
   lines: readonly LogLine[],
   requestId: string,
@@ -49,13 +50,13 @@
     return [];
   }
   const context = listContext(lines, own);
-  const story = [...own, ...context]
+  const timeline = [...own, ...context]
     .toSorted((left, right) => compareTimes(left, right))
     .map((line) => describeLine(line, requestId));
   return [
     `request ${requestId} at ${first.instance} (incarnation ${first.incarnation})`,
-    ...story,
-    ...describeEnd(own),
+    ...timeline,
+    ...describeOutcome(own),
   ];
 }
 
@@ -74,9 +75,9 @@
       return false;
     }
     const isOwn = line.incarnation === last.incarnation;
-    return (isOwn && OWN_EVENTS.has(line.event)) ||
+    return (isOwn && INSTANCE_EVENTS.has(line.event)) ||
       (isOwn && line.event === "target" && targets.has(line["targetId"])) ||
-      (OWNER_EVENTS.has(line.event) &&
+      (OWNERSHIP_EVENTS.has(line.event) &&
         (line["service"] === undefined || services.has(line["service"]))) ||
       (line.event === "key-order" && targets.has(line["target"]));
   });
@@ -114,8 +115,8 @@
   const message = final.message === undefined ? "" : `: ${final.message}`;
   const retry = final.retryAfterMs === undefined
     ? ""
-    : `, to come back after ${final.retryAfterMs} ms`;
-  return `told ${final.outcome}${status}${message}${retry}`;
+    : `, retry after ${final.retryAfterMs} ms`;
+  return `final outcome: ${final.outcome}${status}${message}${retry}`;
 }
 
 function describeEvent(line: LogLine): string {
@@ -131,19 +132,21 @@
   return `${event} at ${instance} ${JSON.stringify(fields)}`;
 }
 
-/** What is proved of the request, in words for whoever complained. */
-function describeEnd(own: readonly LogLine[]): readonly string[] {
+/** Summarizes for the caller what the log lines prove about the request. */
+function describeOutcome(own: readonly LogLine[]): readonly string[] {
   const final = own.map(toFinalLine).findLast((line) => line !== undefined);
   if (final === undefined) {
     return [
-      "No line tells how it ended: its line was dropped, or its instance ended first; it may have run if a send stands above",
+      "No log line reports the outcome: the line was dropped, or the instance stopped first. The request may have run if a send is listed above",
     ];
   }
   if (final.outcome === "answered") {
-    return ["It ran, and its caller got the target's whole answer"];
+    return [
+      "The request ran, and the caller received the complete response of the target",
+    ];
   }
-  const answer = ERROR_RESPONSES[final.outcome as ErrorKind];
-  return answer?.outcome === "not-run"
-    ? ["It has not run and never will"]
-    : ["It may have run; ask the target by its id"];
+  const errorResponse = ERROR_RESPONSES[final.outcome as ErrorKind];
+  return errorResponse?.outcome === "not-run"
+    ? ["The request has not run and will not run"]
+    : ["It may have run; look up the request id at the target"];
 }
--- a/packages/proof/src/log_line.ts
+++ b/packages/proof/src/log_line.ts
@@ -1,20 +1,20 @@
-/** The lines that instances write, read back. */
+/** Parses the log lines that instances write. */
 import { z } from "zod";
 
 const lineSchema = z.looseObject({
   time: z.string(),
   elapsedMs: z.number(),
   instance: z.string(),
-  /** Drawn anew at each start of the process. */
+  /** Random id that is new at each start of the process. */
   incarnation: z.string(),
-  /** Counts the lines of one incarnation, without gaps. */
+  /** Consecutive number of the line within its incarnation. */
   sequence: z.int(),
   event: z.string(),
 });
 
 export type LogLine = Readonly<z.output<typeof lineSchema>>;
 
-/** One attempt to have a target run a request. */
+/** One send of a request to a target. */
 const sendSchema = z.looseObject({
   requestId: z.string(),
   attempt: z.int(),
@@ -32,7 +32,7 @@
 
 export type SendLine = LogLine & Readonly<z.output<typeof sendSchema>>;
 
-/** What the caller was told. */
+/** The final outcome of a request, as reported to the caller. */
 const finalSchema = z.looseObject({
   requestId: z.string(),
   outcome: z.string(),
@@ -44,24 +44,24 @@
 
 export type FinalLine = LogLine & Readonly<z.output<typeof finalSchema>>;
 
-/** Lines as they stand in one or more files. */
+/** Log lines of one or more files. */
 export interface ParsedLines {
   readonly lines: readonly LogLine[];
-  /** What stood between them and is no line of an instance. */
+  /** Number of non-empty lines that are not log lines of an instance. */
   readonly unreadableCount: number;
 }
 
-/** In the order of time, those of one incarnation in their own order. */
+/** Sorts lines by time, those of one incarnation by sequence number. */
 export function parseLines(texts: readonly string[]): ParsedLines {
   const lines: LogLine[] = [];
-  let unreadable = 0;
+  let unreadableCount = 0;
   for (const text of texts.flatMap((each) => each.split("\n"))) {
     if (text.trim() === "") {
       continue;
     }
     const line = parseLine(text);
     if (line === undefined) {
-      unreadable++;
+      unreadableCount++;
     } else {
       lines.push(line);
     }
@@ -75,7 +75,7 @@
       ? 1
       : 0
   );
-  return { lines, unreadableCount: unreadable };
+  return { lines, unreadableCount };
 }
 
 export function toSendLine(line: LogLine): SendLine | undefined {
@@ -94,7 +94,7 @@
   try {
     return lineSchema.safeParse(JSON.parse(text)).data;
   } catch {
-    // Not JSON; the caller counts it.
+    // Not JSON; `parseLines` counts the line as unreadable.
     return undefined;
   }
 }
--- a/packages/proof/src/losses.ts
+++ b/packages/proof/src/losses.ts
@@ -1,64 +1,65 @@
 /**
- * Where requests were lost, from the lines of all instances: how each window of
- * time went, for which reasons, and how unevenly the load lay on the targets.
+ * Summarizes lost requests, which got no response from a target, from the log
+ * lines of all instances: counts per time window, the reasons, and the load
+ * imbalance between targets.
  *
- * For the morning after: it says which seconds and which reason to look at, and
- * `explain` then tells of one request of them.
+ * The summary shows which seconds and which reason to investigate after an
+ * incident; `lentilspur explain` then shows the timeline of a single request.
  */
 import { type LogLine, toFinalLine, toSendLine } from "./log_line.ts";
 
-/** What became of the requests that ended in one window. */
+/** Outcomes of the requests that ended in one time window. */
 export interface LossWindow {
-  /** Time of day at which it begins, in Unix milliseconds. */
+  /** Start of the window, in Unix milliseconds. */
   readonly startsAtMs: number;
   readonly ended: number;
   readonly answered: number;
-  /** Requests that were not answered by a target, by reason; most first. */
+  /** Requests without a response of a target by reason, most frequent first. */
   readonly reasons: readonly LossReason[];
-  /** Sends to the busiest target over the mean of those that got any. */
+  /** Sends to the busiest target / mean sends of the targets with sends. */
   readonly busiest: number;
 }
 
 export interface LossReason {
-  /** Kind of the failure, and what its message says without its numbers. */
+  /** Kind of the failure, and its message without numbers and quoted text. */
   readonly text: string;
   readonly count: number;
 }
 
-/** What a window is counted in, while lines are read. */
-interface Tally {
+/** Counters of one window while lines are read. */
+interface WindowCounts {
   ended: number;
   answered: number;
   readonly reasons: Map<string, number>;
   readonly sends: Map<string, number>;
 }
 
-/** Windows in the order of time; those in which nothing ended are left out. */
+/** Returns windows in order of time; omits those without an ended request. */
 export function listLosses(
   lines: readonly LogLine[],
   windowMs: number,
 ): readonly LossWindow[] {
-  const tallies = new Map<number, Tally>();
+  const countsByStart = new Map<number, WindowCounts>();
   for (const line of lines) {
     const atMs = Date.parse(line.time);
     const startsAtMs = Math.floor(atMs / windowMs) * windowMs;
-    const tally = tallies.get(startsAtMs) ?? createTally();
-    tallies.set(startsAtMs, tally);
-    recordLine(tally, line);
+    const counts = countsByStart.get(startsAtMs) ?? createCounts();
+    countsByStart.set(startsAtMs, counts);
+    recordLine(counts, line);
   }
-  return [...tallies]
+  return [...countsByStart]
     .filter(([, { ended }]) => ended > 0)
     .sort(([left], [right]) => left - right)
-    .map(([startsAtMs, tally]) => ({
+    .map(([startsAtMs, counts]) => ({
       startsAtMs,
-      ended: tally.ended,
-      answered: tally.answered,
-      reasons: sortReasons(tally.reasons),
-      busiest: computeBusiest([...tally.sends.values()]),
+      ended: counts.ended,
+      answered: counts.answered,
+      reasons: sortReasons(counts.reasons),
+      busiest: computeBusiestToMean([...counts.sends.values()]),
     }));
 }
 
-/** All windows together. */
+/** Sums the reasons over all windows. */
 export function mergeReasons(
   windows: readonly LossWindow[],
 ): readonly LossReason[] {
@@ -69,36 +70,36 @@
   return sortReasons(counts);
 }
 
-function createTally(): Tally {
+function createCounts(): WindowCounts {
   return { ended: 0, answered: 0, reasons: new Map(), sends: new Map() };
 }
 
-function recordLine(tally: Tally, line: LogLine): void {
+function recordLine(counts: WindowCounts, line: LogLine): void {
   const send = toSendLine(line);
   if (send !== undefined) {
     const { targetId } = send;
-    tally.sends.set(targetId, (tally.sends.get(targetId) ?? 0) + 1);
+    counts.sends.set(targetId, (counts.sends.get(targetId) ?? 0) + 1);
     return;
   }
   const final = toFinalLine(line);
   if (final === undefined) {
     return;
   }
-  tally.ended++;
+  counts.ended++;
   if (final.outcome === "answered") {
-    tally.answered++;
+    counts.answered++;
     return;
   }
   const text = formatReason(final.outcome, final.message);
-  tally.reasons.set(text, (tally.reasons.get(text) ?? 0) + 1);
+  counts.reasons.set(text, (counts.reasons.get(text) ?? 0) + 1);
 }
 
-/** Messages differ by keys, times and paths; what is left names the reason. */
+/** Removes keys, times and paths, so that the same reason has one text. */
 function formatReason(outcome: string, message: string | undefined): string {
-  const stem = (message ?? "")
+  const pattern = (message ?? "")
     .replaceAll(/"[^"]*"/g, "…")
     .replaceAll(/\d+(\.\d+)?/g, "…");
-  return stem === "" ? outcome : `${outcome} (${stem})`;
+  return pattern === "" ? outcome : `${outcome} (${pattern})`;
 }
 
 function sortReasons(
@@ -109,7 +110,7 @@
     .sort((left, right) => right.count - left.count);
 }
 
-function computeBusiest(sends: readonly number[]): number {
+function computeBusiestToMean(sends: readonly number[]): number {
   const sum = sends.reduce((total, count) => total + count, 0);
   return sum === 0 ? 0 : Math.max(...sends) * sends.length / sum;
 }
--- a/packages/proof/src/losses_test.ts
+++ b/packages/proof/src/losses_test.ts
@@ -29,7 +29,7 @@
   });
 }
 
-test("losses are told by window and by reason, whatever key they were about", () => {
+test("counts losses by window and by reason, regardless of the key", () => {
   const { lines } = parseLines([[
     formatSend("00.100", "a"),
     formatSend("00.200", "a"),
