--- a/packages/outcomes/src/error_kinds.ts
+++ b/packages/outcomes/src/error_kinds.ts
@@ -34,7 +34,12 @@
   readonly status: number;
   /** `not-run` means that the request has not run and never will. */
   readonly outcome: Exclude<Outcome, "ran">;
-  /** Whether a retry of the unchanged request can succeed. */
+  /**
+   * Whether the caller may send the request again as it is. False if it would
+   * fail again, or if it may have run, so that the caller has to check its
+   * effect first. Exception: `caller-left` is true although the request may
+   * have run. After `deadline-passed`, a retry needs a later deadline.
+   */
   readonly mayResend: boolean;
   /** What the caller or its operator can do next. */
   readonly advice: string;
--- a/packages/ownership/src/decaying_counters.ts
+++ b/packages/ownership/src/decaying_counters.ts
@@ -1,4 +1,4 @@
-/** Counters with exponential decay, one per name. */
+/** Counters with exponential decay, one per key. */
 
 /**
  * Instead of decaying all counters, later observations get a higher weight.
@@ -7,6 +7,8 @@
 const MAX_SCALE = 1e6;
 /** A counter that has decayed below this is removed. */
 const MIN_COUNT = 1e-2;
+/** Minimum window, since a few observations do not give a reliable rate. */
+const MIN_WINDOW_MS = 500;
 
 export class DecayingCounters {
   readonly #timeConstantMs: number;
@@ -20,24 +22,24 @@
     this.#timeConstantMs = timeConstantMs;
   }
 
-  observe(names: readonly number[], nowMs: number): void {
+  observe(keys: readonly number[], nowMs: number): void {
     this.#advance(nowMs);
     this.#startedAtMs ??= nowMs;
-    for (const name of names) {
-      this.#counts.set(name, (this.#counts.get(name) ?? 0) + this.#scale);
+    for (const key of keys) {
+      this.#counts.set(key, (this.#counts.get(key) ?? 0) + this.#scale);
     }
   }
 
-  /** Observations per second of each name. */
+  /** Observations per second of each key. */
   listRates(nowMs: number): ReadonlyMap<number, number> {
     this.#advance(nowMs);
     const perSecond = 1_000 / this.#computeWindowMs(nowMs) / this.#scale;
     const rates = new Map<number, number>();
-    for (const [name, count] of this.#counts) {
+    for (const [key, count] of this.#counts) {
       if (count >= MIN_COUNT * this.#scale) {
-        rates.set(name, count * perSecond);
+        rates.set(key, count * perSecond);
       } else {
-        this.#counts.delete(name);
+        this.#counts.delete(key);
       }
     }
     return rates;
@@ -60,12 +62,9 @@
   }
 
   #applyScale(): void {
-    for (const [name, count] of this.#counts) {
-      this.#counts.set(name, count / this.#scale);
+    for (const [key, count] of this.#counts) {
+      this.#counts.set(key, count / this.#scale);
     }
     this.#scale = 1;
   }
 }
-
-/** Minimum window, since a few observations do not give a reliable rate. */
-const MIN_WINDOW_MS = 500;
--- a/packages/ownership/src/hold_tracker.ts
+++ b/packages/ownership/src/hold_tracker.ts
@@ -11,9 +11,11 @@
 /** A target's clock may run 2% slow, so its hold may last this much longer. */
 const CLOCK_DRIFT = 1.02;
 /**
- * A grant is in flight for at most this long before its connection is reset.
+ * A grant is in flight for at most this long before its connection is reset. It
+ * counts from the timeout of the order, since the sender may transmit the grant
+ * until then.
  */
-const TRAVEL_MS = 400;
+const MAX_TRANSIT_MS = 400;
 
 interface SentGrant extends KeyRange {
   readonly targetId: string;
@@ -73,7 +75,7 @@
   }
 
   /** Whether an unanswered grant can still take effect. */
-  hasUnanswered(nowMs: number): boolean {
+  hasUnansweredGrants(nowMs: number): boolean {
     return this.#grants
       .some((grant) => !grant.answered && grant.endsAtMs > nowMs);
   }
@@ -102,8 +104,12 @@
 }
 
 /**
- * The latest end of a hold whose grant was sent, or timed out, at `sentAtMs`.
+ * The latest end of a hold. `lastTransmitAtMs` is the latest time at which the
+ * sender may still have transmitted the grant: its timeout, or a later bound.
  */
-export function computeHoldEndMs(sentAtMs: number, holdMs: number): number {
-  return sentAtMs + TRAVEL_MS + holdMs * CLOCK_DRIFT;
+export function computeHoldEndMs(
+  lastTransmitAtMs: number,
+  holdMs: number,
+): number {
+  return lastTransmitAtMs + MAX_TRANSIT_MS + holdMs * CLOCK_DRIFT;
 }
--- a/packages/ownership/src/initial_distribution_test.ts
+++ b/packages/ownership/src/initial_distribution_test.ts
@@ -64,7 +64,9 @@
  */
 function runLoad(first: KeyTable): Outcome {
   const candidates = createCandidates();
-  const speeds = new Map(candidates.map((one) => [one.id, one.serviceMs]));
+  const serviceMsById = new Map(
+    candidates.map((one) => [one.id, one.serviceMs]),
+  );
   const backlogMs = new Map<string, number>();
   const load = new KeyLoad();
   const draw = createDraw();
@@ -81,7 +83,7 @@
       if (before / PLACES > MAX_WAIT_MS) {
         rejected++;
       } else {
-        backlogMs.set(id, before + speeds.get(id)!);
+        backlogMs.set(id, before + serviceMsById.get(id)!);
       }
     }
     for (const [id, ms] of backlogMs) {
@@ -108,10 +110,11 @@
   return { requested, rejected };
 }
 
-test("the first callers after a start are served from the first second", () => {
+test("few requests are rejected in the first two seconds after callers arrive", () => {
   // Callers arrive 8 s after the targets, half for adjacent keys. With one
-  // owner or a wide range per owner, most were rejected for 2 s, since a plan
-  // makes a dozen moves. Simulated: 34% with one owner, 6% with even ranges.
+  // owner or a wide range per owner, many requests would be rejected for 2 s,
+  // since one plan makes only a dozen moves, or one per target. In this
+  // simulation: 34% with one owner, 6% with an even distribution.
   const candidates = createCandidates();
   const distributed = runLoad(createTable(candidates, 1));
   const singleOwner = runLoad(createTable(candidates.slice(0, 1), 1));
--- a/packages/ownership/src/keeper_timing.ts
+++ b/packages/ownership/src/keeper_timing.ts
@@ -8,7 +8,10 @@
    * enough to outlast the replacement of a lost keeper, which takes 2.1 s.
    */
   readonly holdMs: number;
-  /** Three renewals may fail before a hold expires. */
+  /**
+   * Interval between two renewals of a range. Three renewals may fail before a
+   * hold expires.
+   */
   readonly renewIntervalMs: number;
   /**
    * An order without a response after this time has timed out and is sent
@@ -19,13 +22,15 @@
    * A release waits for running requests, the longest of which take about 1 s.
    */
   readonly releaseTimeoutMs: number;
-  /** Interval between two orders for one range while they fail. */
-  readonly retryIntervalMs: number;
+  /** Time from a failed order to the next order for the same range. */
+  readonly retryDelayMs: number;
   /**
    * How long a keeper may act without the store and without pledges. A
-   * successor that has no information about the keeper waits for this time and
-   * the hold. A read of the partition is held open for 0.6 s, so the last
-   * confirmation is normally about that old, and one read may be lost.
+   * successor that is one of its witnesses waits for this time, or for the end
+   * of its last pledge if that is later, and then for the hold. Any other
+   * successor waits for `maxAuthorityMs` and the hold. A read of the partition
+   * is held open for 0.6 s, so the last confirmation is normally about that
+   * old, and one read may be lost.
    */
   readonly authorityMs: number;
   /**
@@ -37,8 +42,8 @@
   readonly pledgeMs: number;
   /**
    * A keeper never acts without the store for longer than this, which is also
-   * the longest store outage that it bridges. A successor that was never asked
-   * for a pledge waits for this time.
+   * the longest store outage that it bridges. A successor that is not recorded
+   * as one of its witnesses waits for this time.
    */
   readonly maxAuthorityMs: number;
   /** A target whose orders have failed for this long loses its keys. */
@@ -58,7 +63,7 @@
   renewIntervalMs: 750,
   orderTimeoutMs: 400,
   releaseTimeoutMs: 1_500,
-  retryIntervalMs: 250,
+  retryDelayMs: 250,
   authorityMs: 2_000,
   pledgeMs: 6_000,
   maxAuthorityMs: 60_000,
--- a/packages/ownership/src/key_keeper.ts
+++ b/packages/ownership/src/key_keeper.ts
@@ -108,7 +108,11 @@
   readonly hasPledges: () => boolean;
   /** When a read last showed that there is no newer claim; local clock. */
   readonly getConfirmedAtMs: () => number;
-  /** Confirmations from before this time are ignored; local clock. */
+  /**
+   * Confirmations from before this time are ignored: the machine may have been
+   * suspended since then, and the monotonic clock does not count that time.
+   * Local clock.
+   */
   readonly getTrustedSinceMs: () => number;
   readonly observe: (event: KeeperEvent) => void;
   /** Called with each record that the store has accepted. */
@@ -140,7 +144,8 @@
 }
 
 /**
- * Each store call has a cost, and a hold outlasts several of these intervals.
+ * Minimum interval between reads that look for a newer claim. Each store call
+ * has a cost, and a hold outlasts several of these intervals.
  */
 const CONFIRM_INTERVAL_MS = 500;
 /** Pause after a failed append before the next one. */
@@ -148,8 +153,8 @@
 /**
  * Completed moves are recorded with the next plan, or after this time if there
  * is none; instances have already been notified of each move. Each append has a
- * cost: recorded every 300 ms, completed moves were half of a keeper's five
- * appends per second.
+ * cost: at an interval of 300 ms, completed moves would cause half of a
+ * keeper's five appends per second.
  */
 const SETTLE_INTERVAL_MS = 1_000;
 /** Interval of the keeper's main loop. */
@@ -165,9 +170,10 @@
   readonly #planner: TablePlanner;
   #endOffset: number;
   #lastContactAtMs: number;
-  #writtenWitnesses = "";
+  /** JSON text of the newest record of witnesses that the store accepted. */
+  #lastWitnessesRecord = "";
   /** Incarnations that the newest record of witnesses may list. */
-  #namedWitnesses: ReadonlySet<string> = new Set();
+  #possiblyRecordedWitnesses: ReadonlySet<string> = new Set();
   #nextWitnessesAtMs = 0;
   #nextAppendAtMs = -Infinity;
   #nextSettledAtMs = -Infinity;
@@ -230,8 +236,8 @@
   }
 
   /**
-   * Stops and, if no order can take effect late, records a resignation, so that
-   * the successor need not wait for this keeper.
+   * Stops and, if no unanswered grant can still take effect, records a
+   * resignation, so that the successor need not wait for this keeper.
    */
   async leave(): Promise<void> {
     this.stop("asked");
@@ -254,7 +260,7 @@
   /** Whether none of its unanswered grants can take effect any more. */
   get isClean(): boolean {
     return [...this.#reconcilers.values()]
-      .every((reconciler) => !reconciler.hasUnanswered());
+      .every((reconciler) => !reconciler.hasUnansweredGrants());
   }
 
   /**
@@ -326,9 +332,9 @@
 
   /**
    * Whether a key can be moved without a long wait. Until the grants of a lost
-   * keeper have expired, each move leaves its keys unserved for a hold: 3.5 s,
-   * in which a fifth of all requests was rejected, where an overloaded owner
-   * would have rejected a twentieth.
+   * keeper have expired, each move leaves its keys unserved for up to 3.5 s. In
+   * that time a fifth of all requests is rejected, whereas an overloaded owner
+   * that keeps its keys rejects a twentieth.
    */
   #hasFastMoves(): boolean {
     const { isClean, untilMs } = this.#describeInherited();
@@ -379,15 +385,18 @@
     const unresolved = listUnresolved();
     const record: KeeperWitnesses = { term, instances, unresolved };
     const text = JSON.stringify(record);
-    if (text === this.#writtenWitnesses) {
+    if (text === this.#lastWitnessesRecord) {
       return;
     }
     // Until the store has confirmed the append, either record may be the
     // newest.
-    this.#namedWitnesses = new Set([...this.#namedWitnesses, ...instances]);
+    this.#possiblyRecordedWitnesses = new Set([
+      ...this.#possiblyRecordedWitnesses,
+      ...instances,
+    ]);
     if (await this.#append(WITNESSES_KEY, text)) {
-      this.#writtenWitnesses = text;
-      this.#namedWitnesses = new Set(instances);
+      this.#lastWitnessesRecord = text;
+      this.#possiblyRecordedWitnesses = new Set(instances);
     }
   }
 
@@ -395,7 +404,7 @@
    * Incarnations that a successor may find recorded as this keeper's witnesses.
    */
   listNamedWitnesses(): readonly string[] {
-    return [...this.#namedWitnesses];
+    return [...this.#possiblyRecordedWitnesses];
   }
 
   /** Records which ranges have been granted to their new owners. */
--- a/packages/ownership/src/key_keeper_test.ts
+++ b/packages/ownership/src/key_keeper_test.ts
@@ -140,8 +140,8 @@
 
 test("keys of an unreachable target move only after its hold has expired", async () => {
   // Guards against two owners of a key: an unreachable target goes on serving
-  // its keys, which it holds for 4 s more, while they are granted to another
-  // target.
+  // its keys, which it holds for up to 3.5 s more, while they are granted to
+  // another target.
   const simulation = new KeyKeeperSimulation();
   simulation.startKeeper("one");
   await simulation.clock.advance(500);
@@ -153,15 +153,16 @@
   assert.equal(
     simulation.holders.findHolder(0),
     "b",
-    "served again within 5 s",
+    "served again within 5.5 s",
   );
   assert.deepEqual(simulation.holders.listOverlaps(), []);
 });
 
 test("orders that were never sent do not extend a hold", async () => {
   // In a store outage a target is lost, and its keeper tries to renew its keys
-  // for seconds on connections that never open. With a hold counted from the
-  // last attempt, its keys went unserved for 4 s more once the store was back.
+  // for seconds on connections that never open. If the hold counted from the
+  // last attempt, its keys would go unserved for up to 3.5 s after the store is
+  // back.
   const simulation = new KeyKeeperSimulation();
   simulation.startKeeper("one");
   await simulation.clock.advance(500);
@@ -211,8 +212,8 @@
 test("a release stays valid when its range gets yet another owner", async () => {
   // A successor moves a hot key, and the new owner never answers and is
   // replaced in turn. A second release of the former holder restarted the wait
-  // for late grants: the key had no owner for 6.5 s, and 750 requests were
-  // rejected.
+  // for unanswered grants: the key had no owner for 6.5 s, and 750 requests
+  // were rejected.
   const simulation = new KeyKeeperSimulation();
   simulation.candidates = [createCandidate("a")];
   simulation.startKeeper("one");
@@ -231,7 +232,7 @@
   assert.deepEqual(simulation.holders.listOverlaps(), []);
 });
 
-test("a replaced keeper writes no records and sends no orders", async () => {
+test("a replaced keeper stops, and no key gets two owners", async () => {
   // Guards against two instances that both act as the keeper: the first one's
   // append must fail, since the partition ends with the second one's claim.
   const simulation = new KeyKeeperSimulation();
@@ -241,10 +242,10 @@
   simulation.candidates = [createCandidate("b")];
   await simulation.clock.advance(1_000);
   assert.ok(first.hasStopped);
-  const before = simulation.store.listRecords(PARTITION)
+  const tableCount = simulation.store.listRecords(PARTITION)
     .filter(({ key }) => key === formatTableKey(SERVICE)).length;
   await simulation.clock.advance(7_000);
-  assert.ok(before >= 2);
+  assert.ok(tableCount >= 2);
   assert.deepEqual(simulation.holders.listOverlaps(), []);
   assert.equal(simulation.holders.findHolder(0), "b");
 });
@@ -274,7 +275,7 @@
 
 test("keys are served during a store outage", async () => {
   // The store is down for 50 s, and every other instance has pledged to wait.
-  // Without renewals, every key would go unserved within 4 s.
+  // Without renewals, every key would go unserved within a hold (3 s).
   const simulation = new KeyKeeperSimulation();
   simulation.hasPledges = true;
   simulation.startKeeper("one");
@@ -299,7 +300,7 @@
   assert.equal(simulation.holders.findHolder(0), undefined);
 });
 
-test("a suspended keeper asks the store before its next order", async () => {
+test("after its machine was suspended, a keeper sends no order until the store confirms it", async () => {
   // The monotonic clock stands still while the machine is suspended, so the
   // keeper would take its authority for recent. Earlier confirmations must not
   // count.
@@ -315,7 +316,7 @@
 });
 
 test("a keeper whose time of day jumped confirms its authority at once", async () => {
-  // A step of 2 s in the time of day may mean a suspension, so earlier
+  // A step of 2 s in the time of day may mean a suspended machine, so earlier
   // confirmations no longer count. The next read of the partition's tail ends
   // up to 3 s later, and until then every key would go unserved.
   const simulation = new KeyKeeperSimulation();
--- a/packages/ownership/src/key_planner.ts
+++ b/packages/ownership/src/key_planner.ts
@@ -32,8 +32,8 @@
 } from "./owner_load.ts";
 import type { CountedRate, KeyRateIndex } from "./key_rate_index.ts";
 import {
+  findDensest,
   findEdge,
-  findNarrowest,
   isCloseToRate,
   isNarrower,
   type Subrange,
@@ -64,13 +64,14 @@
  */
 const MIN_RELIEF_SHARE = 0.03;
 /**
- * Maximum moves in one plan; if there are more targets, one move per target.
+ * Maximum number of moves in one plan with up to this many targets; with more
+ * targets, one move per target.
  */
-const MIN_MOVES = 12;
+const DEFAULT_MAX_MOVES = 12;
 /**
- * Each range costs one renewal per second. Above this many ranges per target,
- * lasting imbalances are reduced by moving whole ranges only, and idle ranges
- * are merged with their neighbours.
+ * Each range costs one renewal per `renewIntervalMs`. Above this many ranges
+ * per target, lasting imbalances are reduced by moving whole ranges only, and
+ * idle ranges are merged with their neighbours.
  */
 const MAX_RANGES_PER_TARGET = 10;
 /** Limit over all targets together, since one keeper renews all ranges. */
@@ -149,7 +150,7 @@
   hasTooManyRanges: boolean,
 ): readonly Reassignment[] {
   const changes: Reassignment[] = [];
-  const maxMoves = Math.max(MIN_MOVES, ownerLoads.size);
+  const maxMoves = Math.max(DEFAULT_MAX_MOVES, ownerLoads.size);
   while (changes.length < maxMoves) {
     const change = planOneMove(ownerLoads, rateIndexes, hasTooManyRanges);
     if (change === undefined) {
@@ -196,11 +197,12 @@
 }
 
 /**
- * Moves a key whose requests alone exceed its owner's capacity to a target with
- * clearly more capacity. Load pattern: two fifths of all lookups are for one
- * key for 5 s. An owner with 0.6 of the usual speed answers 10 of them per
- * second, one with 1.4 answers 23, and the rest are rejected. The faster target
- * is then overloaded, so the following moves take its other keys away.
+ * Moves a key whose requests alone take at least `HOT_KEY_SHARE` of its owner's
+ * capacity to a target with at least `MIN_SPEEDUP` times that capacity. Load
+ * pattern: two fifths of all lookups are for one key for 5 s. An owner with 0.6
+ * of the usual speed answers 10 of them per second, one with 1.4 answers 23,
+ * and the rest are rejected. The faster target is then overloaded, so the
+ * following moves take its other keys away.
  */
 function planHotKey(
   { source, ownerLoads, rateIndexes }: ReliefOptions,
@@ -213,7 +215,7 @@
   ) {
     return undefined;
   }
-  const destination = chooseFastest(ownerLoads, rates);
+  const destination = chooseHighestCapacity(ownerLoads, rates);
   if (
     destination === undefined ||
     computeCapacity(destination.candidate) <
@@ -229,8 +231,8 @@
   });
 }
 
-/** The target with the most capacity that does not yet own a hot key. */
-function chooseFastest(
+/** The target with the highest capacity that does not yet own a hot key. */
+function chooseHighestCapacity(
   ownerLoads: ReadonlyMap<string, OwnerLoad>,
   rates: KeyRateIndex,
 ): OwnerLoad | undefined {
@@ -326,7 +328,7 @@
 
 function moveSubrange(options: SubrangeOptions): Reassignment | undefined {
   const { source, destination } = options;
-  const keys = findNarrow(options) ?? findLargest(options);
+  const keys = findNarrowestSufficient(options) ?? findBusiestRange(options);
   return keys === undefined
     ? undefined
     : moveKeys({ source, destination, keys });
@@ -335,7 +337,7 @@
 /**
  * The narrowest subrange or whole range that carries enough of the wanted rate.
  */
-function findNarrow(
+function findNarrowestSufficient(
   { source, wantedRate, rates, hasTooManyRanges }: SubrangeOptions,
 ): Subrange | undefined {
   let best: Subrange | undefined;
@@ -344,7 +346,7 @@
     const subrange = isCloseToRate(wholeRange, wantedRate)
       ? wholeRange
       : source.isHotspot
-      ? findNarrowest(rates, range, wantedRate)
+      ? findDensest(rates, range, wantedRate)
       : hasTooManyRanges
       ? undefined
       : findEdge(rates, range, wantedRate);
@@ -356,10 +358,11 @@
 }
 
 /**
- * If no single subrange carries enough: the whole range with the highest rate.
- * An owner of many narrow ranges is relieved of several of them.
+ * If no single subrange carries enough: the whole range with the highest rate
+ * up to `wantedRate`. An owner of many narrow ranges is relieved of several of
+ * them.
  */
-function findLargest(
+function findBusiestRange(
   { source, wantedRate, rates }: SubrangeOptions,
 ): Subrange | undefined {
   const minRate = MIN_RELIEF_SHARE * computeCapacity(source.candidate);
--- a/packages/ownership/src/key_planner_test.ts
+++ b/packages/ownership/src/key_planner_test.ts
@@ -189,7 +189,7 @@
   return table;
 }
 
-test("a key that exceeds its owner's capacity moves alone to the fastest target", () => {
+test("a key that exceeds its owner's capacity moves to the fastest target, where few other busy keys stay", () => {
   // Two fifths of all lookups are for one key, and its owner is the slowest
   // target: it answers 10 per second, and 28 per second are rejected, while
   // targets with twice its speed have capacity left.
--- a/packages/ownership/src/key_table.ts
+++ b/packages/ownership/src/key_table.ts
@@ -10,7 +10,7 @@
 import { Err, Ok, type Result } from "@lentilspur/outcomes/result";
 import { hasOverlap, LAST_KEY } from "@lentilspur/ports/key_orders";
 
-/** A target that keys can be assigned to. */
+/** One incarnation of a target at one address. */
 export interface Assignee {
   readonly id: string;
   /** `host:port`, with an IP address. */
@@ -100,7 +100,7 @@
  * Assigns ranges to their owners again under `token`. `getIncarnation` returns
  * the owner's current incarnation, or undefined if a range stays unchanged.
  */
-export function renewTokens(
+export function assignNewTokens(
   table: KeyTable,
   getIncarnation: (range: OwnedRange) => Assignee | undefined,
   token: number,
@@ -119,7 +119,10 @@
  * range per owner, half of all requests would go to a few owners.
  */
 const INITIAL_RANGES_PER_OWNER = 6;
-/** Each range costs its keeper one renewal per second, whoever owns it. */
+/**
+ * Each range costs its keeper one renewal per `renewIntervalMs`, whoever owns
+ * it.
+ */
 const MAX_INITIAL_RANGES = 400;
 
 /** Distributes all keys evenly, as the first table of a service. */
--- a/packages/ownership/src/merge_plan.ts
+++ b/packages/ownership/src/merge_plan.ts
@@ -3,8 +3,8 @@
  * reduces the number of ranges.
  *
  * A hotspot is split into narrow ranges, each of which costs one renewal per
- * second. After the hotspot these ranges carry next to no requests, but would
- * cost their renewals forever.
+ * `renewIntervalMs`. After the hotspot these ranges carry next to no requests,
+ * but would cost their renewals forever.
  */
 import type { KeyTable, OwnedRange, Reassignment } from "./key_table.ts";
 import {
--- a/packages/ownership/src/orphan_plan.ts
+++ b/packages/ownership/src/orphan_plan.ts
@@ -29,9 +29,11 @@
     if (owner !== undefined && isSameEndpoint(owner, range.owner)) {
       continue;
     }
-    const pieceRate = PIECE_SHARE * computeMeanRate(ownerLoads);
+    const pieceRate = PIECE_SHARE * computeMeanCapacity(ownerLoads);
     for (const piece of splitOrphan(range, rates, pieceRate)) {
       const destination = chooseLeastUtilized(ownerLoads);
+      // The small amount per key spreads pieces without any requests over
+      // several targets.
       destination.utilization +=
         computeUtilization(destination.candidate, piece.perSecond) +
         piece.width / 1e7;
@@ -45,9 +47,11 @@
   return changes;
 }
 
+/** A part of an orphaned range that gets one new owner. */
 interface Piece {
   readonly from: number;
   readonly to: number;
+  /** Number of keys. */
   readonly width: number;
   readonly perSecond: number;
 }
@@ -64,7 +68,9 @@
 /** A range of more keys is split even if none of them is requested yet. */
 const WIDE_RANGE_KEYS = 1_000;
 
-function computeMeanRate(ownerLoads: ReadonlyMap<string, OwnerLoad>): number {
+function computeMeanCapacity(
+  ownerLoads: ReadonlyMap<string, OwnerLoad>,
+): number {
   let sum = 0;
   for (const { candidate } of ownerLoads.values()) {
     sum += computeCapacity(candidate);
--- a/packages/ownership/src/owner_load.ts
+++ b/packages/ownership/src/owner_load.ts
@@ -18,7 +18,7 @@
 import { KeyRateIndex } from "./key_rate_index.ts";
 import type { Subrange } from "./subrange_selection.ts";
 
-/** A target that may own keys. */
+/** A target that may own keys, and what determines its capacity. */
 export interface OwnerCandidate extends Assignee {
   readonly places: number;
   /** Processing time of one request, in milliseconds. */
--- a/packages/ownership/src/partition_state.ts
+++ b/packages/ownership/src/partition_state.ts
@@ -20,7 +20,7 @@
   readonly unresolved: readonly UnresolvedKeeper[];
   readonly tables: ReadonlyMap<string, KeyTable>;
   readonly end: number;
-  /** Unreadable records, each with the reason; parsing skips them. */
+  /** Unreadable tables, each with the reason; parsing skips them. */
   readonly faults: readonly string[];
 }
 
@@ -83,7 +83,7 @@
       ? claim
       : undefined;
   } catch {
-    // An unreadable claim counts as no claim.
+    // The content is lost, but the record still starts a new term.
     return undefined;
   }
 }
--- a/packages/ownership/src/subrange_selection.ts
+++ b/packages/ownership/src/subrange_selection.ts
@@ -39,9 +39,10 @@
 }
 
 /**
- * The subrange that carries about `wantedRate` with the highest rate per key.
+ * The subrange with the highest rate per key among those that carry about
+ * `wantedRate`.
  */
-export function findNarrowest(
+export function findDensest(
   rates: KeyRateIndex,
   range: OwnedRange,
   wantedRate: number,
@@ -61,7 +62,7 @@
       to: rate.key,
       perSecond: sum,
     };
-    if (isCloseToRate(subrange, wantedRate) && isBetter(subrange, best)) {
+    if (isCloseToRate(subrange, wantedRate) && isDenser(subrange, best)) {
       best = subrange;
     }
   }
@@ -72,9 +73,8 @@
  * The subrange at one end of a range that carries about `wantedRate`. Lasting
  * imbalances are reduced by moves from the ends: a cut from within splits a
  * range into three, each of which costs a renewal several times per hold. With
- * cuts from within, 19 targets had 130 ranges after 10 s, more than are
- * allowed, and the slowest targets were left with twice the load that they
- * could serve in time.
+ * cuts from within, 19 targets had 130 ranges after 10 s, and the slowest
+ * targets were left with twice the load that they could serve in time.
  */
 export function findEdge(
   rates: KeyRateIndex,
@@ -111,8 +111,8 @@
   return { key, perSecond };
 }
 
-/** Prefers the higher rate per key, which is the hottest part of the range. */
-function isBetter(left: Subrange, right: Subrange | undefined): boolean {
+/** Whether the left subrange has the higher rate per key. */
+function isDenser(left: Subrange, right: Subrange | undefined): boolean {
   return right === undefined ||
     left.perSecond / (left.to - left.from + 1) >
       right.perSecond / (right.to - right.from + 1);
--- a/packages/ownership/src/table_planner.ts
+++ b/packages/ownership/src/table_planner.ts
@@ -9,10 +9,10 @@
 import { planReassignments } from "./key_planner.ts";
 import {
   applyReassignments,
+  assignNewTokens,
   createTable,
   isSameIncarnation,
   type KeyTable,
-  renewTokens,
   settleRanges,
 } from "./key_table.ts";
 import type { OwnerCandidate } from "./owner_load.ts";
@@ -40,7 +40,7 @@
 
 export interface PlannedTable {
   readonly table: KeyTable;
-  /** Number of ranges that pass to another owner. */
+  /** Number of reassignments, or number of owners in the first table. */
   readonly changes: number;
 }
 
@@ -81,12 +81,12 @@
       input.table,
       (range) => reconciler?.isSettled(range) === true,
     );
-    const renewed = renewStaleTokens(table, candidates, input);
+    const reissued = updateStaleTokens(table, candidates, input);
     const changes = planReassignments(table, candidates, snapshot.rates, {
       rebalance,
     });
-    return changes.length === 0 && renewed === table ? undefined : {
-      table: applyReassignments(renewed, changes, token),
+    return changes.length === 0 && reissued === table ? undefined : {
+      table: applyReassignments(reissued, changes, token),
       changes: changes.length,
     };
   }
@@ -110,18 +110,19 @@
 }
 
 /**
- * Assigns new tokens to ranges that their owners must not be granted under the
- * old ones. Failure: a target is killed and restarts under its id, and a
- * renewal gives the new incarnation keys under the token of the previous one.
+ * Assigns a new token to each range whose owner has restarted, or whose current
+ * token must not be sent any more. Failure: a target is killed and restarts
+ * under its id, and a renewal gives the new incarnation keys under the token of
+ * the previous one.
  */
-function renewStaleTokens(
+function updateStaleTokens(
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
   { reconciler, token }: PlanInput,
 ): KeyTable {
   const incarnations = new Map(candidates.map((one) => [one.id, one]));
-  let hasRenewed = false;
-  const renewed = renewTokens(table, (range) => {
+  let hasReissued = false;
+  const reissued = assignNewTokens(table, (range) => {
     const incarnation = incarnations.get(range.owner.id);
     if (
       incarnation === undefined || incarnation.address !== range.owner.address
@@ -134,8 +135,8 @@
     ) {
       return undefined;
     }
-    hasRenewed = true;
+    hasReissued = true;
     return incarnation;
   }, token);
-  return hasRenewed ? renewed : table;
+  return hasReissued ? reissued : table;
 }
--- a/packages/ownership/src/table_reconciler.ts
+++ b/packages/ownership/src/table_reconciler.ts
@@ -38,7 +38,7 @@
 export interface InheritedGrants {
   /** Until then, a holder that was not released may still hold its ranges. */
   readonly untilMs: number;
-  /** No grant of an earlier keeper can take effect late. */
+  /** Whether no grant of an earlier keeper can still take effect. */
   readonly isClean: boolean;
 }
 
@@ -140,13 +140,13 @@
   }
 
   /** Whether an unanswered grant of this keeper can still take effect. */
-  hasUnanswered(): boolean {
-    return this.#holds.hasUnanswered(this.#options.clock.readMs());
+  hasUnansweredGrants(): boolean {
+    return this.#holds.hasUnansweredGrants(this.#options.clock.readMs());
   }
 
   /** Whether a target has not answered orders for some time, or has ended. */
   isUnusable(target: Assignee): boolean {
-    const incarnationKey = formatAssigneeKey(target);
+    const incarnationKey = formatIncarnationKey(target);
     const streak = this.#failureStreaks.get(incarnationKey);
     const nowMs = this.#options.clock.readMs();
     return this.#ended.has(incarnationKey) ||
@@ -181,7 +181,7 @@
       return;
     }
     const pending = state.range.former
-      .find((holder) => !this.#isClear(state, holder, nowMs));
+      .find((holder) => !this.#hasNoHold(state, holder, nowMs));
     if (pending === undefined) {
       void this.#run(state, () => this.#grant(state, "grant"));
     } else if (!state.released.has(pending.id)) {
@@ -216,10 +216,11 @@
     return this.#states.get(formatRange(state.range)) === state;
   }
 
-  #isClear(state: RangeState, holder: Holder, nowMs: number): boolean {
+  /** Whether the former holder can no longer hold any key of the range. */
+  #hasNoHold(state: RangeState, holder: Holder, nowMs: number): boolean {
     const { range } = state;
     if (
-      this.#ended.has(formatAssigneeKey(holder)) ||
+      this.#ended.has(formatIncarnationKey(holder)) ||
       this.#options.hasEnded(holder)
     ) {
       return true;
@@ -229,7 +230,7 @@
     }
     const releasedAtMs = state.released.get(holder.id);
     return releasedAtMs !== undefined &&
-      nowMs >= this.#computeLateEndMs(holder, range, releasedAtMs);
+      nowMs >= this.#computePendingGrantsEndMs(holder, range, releasedAtMs);
   }
 
   #computeHoldEndMs(holder: Holder, range: OwnedRange): number {
@@ -240,11 +241,12 @@
   }
 
   /**
-   * When no grant can take effect late on a holder that was released. The
-   * holder refuses grants that arrive after the release because of their
-   * tokens; the hold of a grant that arrived before starts at its arrival.
+   * Time after which no grant sent to a holder before its release can still
+   * take effect. The holder refuses grants that arrive after the release
+   * because of their tokens; the hold of a grant that arrived before starts at
+   * its arrival.
    */
-  #computeLateEndMs(
+  #computePendingGrantsEndMs(
     holder: Holder,
     range: OwnedRange,
     releasedAtMs: number,
@@ -297,7 +299,7 @@
     if (outcome.kind === "done") {
       this.#recordGranted(state);
     } else {
-      state.nextOrderAtMs = clock.readMs() + timing.retryIntervalMs;
+      state.nextOrderAtMs = clock.readMs() + timing.retryDelayMs;
     }
     this.#reportOrder(order, state, { holder: range.owner, outcome, sentAtMs });
   }
@@ -324,13 +326,13 @@
       state.released.set(holder.id, clock.readMs());
       state.handover = outcome.handover ?? state.handover;
     } else {
-      state.nextOrderAtMs = clock.readMs() + timing.retryIntervalMs;
+      state.nextOrderAtMs = clock.readMs() + timing.retryDelayMs;
     }
     this.#reportOrder("release", state, { holder, outcome, sentAtMs });
   }
 
   #recordOutcome(holder: Holder, outcome: OrderOutcome): void {
-    const incarnationKey = formatAssigneeKey(holder);
+    const incarnationKey = formatIncarnationKey(holder);
     const nowMs = this.#options.clock.readMs();
     switch (outcome.kind) {
       case "done":
@@ -407,7 +409,8 @@
 /**
  * A holder that released the keys for one owner has also released them for the
  * next one: it already refuses every older grant. Another release would restart
- * the wait for late grants, 3.5 s for each owner that turned out to be lost.
+ * the wait for unanswered grants, 3.5 s for each owner that turned out to be
+ * lost.
  */
 function listReleased(
   range: OwnedRange,
@@ -463,7 +466,8 @@
   return `${range.from}-${range.to}:${range.owner.id}:${range.owner.token}`;
 }
 
-function formatAssigneeKey({ id, address, bornMs }: Assignee): string {
+/** Identifies one incarnation of a target at one address. */
+function formatIncarnationKey({ id, address, bornMs }: Assignee): string {
   return `${id} ${address} ${bornMs ?? ""}`;
 }
 
--- a/packages/ports/src/clock.ts
+++ b/packages/ports/src/clock.ts
@@ -1,7 +1,8 @@
 /**
- * Elapsed time. Only differences between readings of the same clock are
- * meaningful: readings never leave their process, and clocks of different
- * machines are never compared.
+ * Interfaces of a monotonic clock and of a source of random numbers. For
+ * clocks, only differences between readings of the same clock are meaningful:
+ * readings never leave their process, and clocks of different machines are
+ * never compared.
  */
 
 export interface Clock {
--- a/packages/ports/src/fake_key_holders.ts
+++ b/packages/ports/src/fake_key_holders.ts
@@ -112,7 +112,7 @@
    * tokens.
    */
   restart(targetId: string): void {
-    this.#expireAllHolds(targetId);
+    this.#closeAllHolds(targetId);
     this.#seenTokens.delete(targetId);
     this.#incarnations.set(targetId, this.#getIncarnation(targetId) + 1);
   }
@@ -135,10 +135,10 @@
   /** Ends the target process: its holds end and it responds no more. */
   kill(targetId: string): void {
     this.#ended.add(targetId);
-    this.#expireAllHolds(targetId);
+    this.#closeAllHolds(targetId);
   }
 
-  #expireAllHolds(targetId: string): void {
+  #closeAllHolds(targetId: string): void {
     const nowMs = this.#clock.readMs();
     for (const interval of this.holdIntervals) {
       if (interval.targetId === targetId) {
@@ -244,8 +244,8 @@
   ): Promise<void> {
     const incarnation = this.#getIncarnation(to.id);
     await this.#clock.sleep(this.#lateGrantDelayMs);
-    // Applies whatever happened in between; the hold time counts from the
-    // arrival.
+    // Applied even if the range was released meanwhile; the hold counts from
+    // the arrival.
     if (
       !this.#ended.has(to.id) && this.#getIncarnation(to.id) === incarnation &&
       this.#clock.readMs() < arrivedAtMs + order.holdMs
@@ -271,7 +271,7 @@
     }
     this.#recordOrder("release", from.id, order);
     this.#addSeenToken(from.id, order);
-    this.#expireHolds(from.id, order);
+    this.#closeHolds(from.id, order);
     await this.#clock.sleep(WORK_MS);
     return { kind: "done", handover: `handover-${from.id}` };
   }
@@ -299,7 +299,7 @@
   #recordHold(targetId: string, order: GrantOrder, arrivedAtMs: number): void {
     const nowMs = this.#clock.readMs();
     this.#addSeenToken(targetId, order);
-    this.#expireHolds(targetId, order);
+    this.#closeHolds(targetId, order);
     this.holdIntervals.push({
       targetId,
       incarnation: this.#getIncarnation(targetId),
@@ -311,10 +311,8 @@
     });
   }
 
-  /**
-   * A new hold replaces earlier ones on its range; the rest of those continues.
-   */
-  #expireHolds(targetId: string, range: KeyRange): void {
+  /** Ends the holds on the range; the parts outside it continue. */
+  #closeHolds(targetId: string, range: KeyRange): void {
     const nowMs = this.#clock.readMs();
     for (const interval of [...this.holdIntervals]) {
       if (
--- a/packages/ports/src/fake_target.ts
+++ b/packages/ports/src/fake_target.ts
@@ -1,6 +1,7 @@
 /**
  * In-memory target with places, a queue and holds of keys with fencing tokens.
- * Records the requests that it ran, so that tests and trials can check them.
+ * Records the requests that it ran, so that tests and packages/trials can check
+ * them.
  */
 import { createHash } from "node:crypto";
 import type { Clock } from "./clock.ts";
@@ -63,6 +64,7 @@
   | { readonly kind: "crashed" }
   | { readonly kind: "not-owner" }
   | { readonly kind: "full" }
+  /** The run finished, though without effect if its hold had expired. */
   | { readonly kind: "ran"; readonly run: TargetRun };
 
 interface Hold extends KeyRange {
@@ -81,7 +83,10 @@
   readonly ended: Promise<void>;
 }
 
-/** Number of places that the targets of both users have. */
+/**
+ * Number of places of each target, in the request simulation of the tests and
+ * in the stand-in targets.
+ */
 export const TARGET_PLACES = 2;
 const QUEUE_CAPACITY = 8;
 /** A fatal request crashes its target this long after it starts to run. */
@@ -213,7 +218,10 @@
     return { kind: "ran", run: this.#recordRunEnd(run, body, ending) };
   }
 
-  /** The hold may have expired while the request was queued. */
+  /**
+   * Registers a running request. In a keyed service, it has no effect without a
+   * valid hold, for example if the hold expired while the request was queued.
+   */
   #addRunning(key: number): RunningRequest & { readonly end: () => void } {
     let resolveEnded = (): void => {};
     const ended = new Promise<void>((resolve) => resolveEnded = resolve);
--- a/packages/ports/src/key_orders.ts
+++ b/packages/ports/src/key_orders.ts
@@ -41,8 +41,8 @@
   /** The target holds the keys for this long after the order arrives. */
   readonly holdMs: number;
   /**
-   * Handover from the previous holder's release; avoids a slow start of the
-   * keys.
+   * Opaque value from the previous holder's response to its release. The new
+   * holder uses it to avoid a slow start of the keys.
    */
   readonly handover?: string;
 }
--- a/packages/ports/src/request_sender.ts
+++ b/packages/ports/src/request_sender.ts
@@ -59,13 +59,23 @@
 export type SendOutcome =
   /** The complete response of the target, to be forwarded unchanged. */
   | (TargetResponse & TargetReport & { readonly kind: "answered" })
-  /** The request is proved not to have run, and never will. */
+  /**
+   * The request is proved not to have run, and never will: none of it was sent
+   * (`unreachable`), the target refused it, usually for lack of room (`full`),
+   * or does not hold its key (`not-owner`), or another process responds at the
+   * address (`replaced`).
+   */
   | (TargetReport & {
     readonly kind: "not-run";
     readonly cause: "unreachable" | "full" | "not-owner" | "replaced";
     readonly message: string;
   })
-  /** The request may have run. */
+  /**
+   * The request may have run: no response in time (`silent`), the connection
+   * broke before the response (`reset`) or during it (`cut`), the response is
+   * too large or not a valid one to this request (`garbled`), or the send was
+   * cancelled (`cancelled`).
+   */
   | {
     readonly kind: "unknown";
     readonly cause: "silent" | "reset" | "cut" | "garbled" | "cancelled";
--- a/packages/ports/src/routing_table.ts
+++ b/packages/ports/src/routing_table.ts
@@ -1,6 +1,7 @@
 /**
- * The configuration by operators and the known targets, from which an instance
- * routes requests. Adapters decode them from wherever they are stored.
+ * Types of the operators' configuration (routes, services and accounts) and of
+ * the known targets, which an instance uses to route requests. Adapters decode
+ * both from wherever they are stored.
  */
 
 /** A service and its share of a route's requests. */
--- a/packages/ports/src/tick.ts
+++ b/packages/ports/src/tick.ts
@@ -7,11 +7,11 @@
 /**
  * Sleeps until the next multiple of a period; this process's clock.
  *
- * Load pattern: an idle instance among 76 woke up 75 times a second for eight
- * loops with periods of 50 to 500 ms, each at its own times, and a wake-up
- * costs about 0.1 ms. Loops that wake at multiples of their periods wake
- * together. A timer may fire slightly early, so a multiple that is too close is
- * skipped.
+ * Load pattern: in a deployment of 76 instances, eight loops with periods of 50
+ * to 500 ms, each at its own times, wake an idle instance 75 times a second,
+ * and a wake-up costs about 0.1 ms. Loops that wake at multiples of their
+ * periods wake together. A timer may fire slightly early, so a multiple that is
+ * too close is skipped.
  */
 export function sleepUntilTick(
   clock: Clock,
--- a/packages/routing/src/account_limiter.ts
+++ b/packages/routing/src/account_limiter.ts
@@ -77,7 +77,7 @@
   ): AdmissionDecision {
     const bucket = this.#getBucket(account, service, allowance, nowMs);
     const rate = this.#computeRate(bucket, allowance, nowMs);
-    addTokens(bucket, { rate, burst: allowance.burst, nowMs });
+    recordArrival(bucket, { rate, burst: allowance.burst, nowMs });
     if (bucket.concurrent >= allowance.maxConcurrent) {
       return refuse(
         `${allowance.maxConcurrent} concurrent requests of client account "${account}" to "${service}"`,
@@ -191,7 +191,8 @@
   return left / sharers;
 }
 
-function addTokens(
+/** Refills the bucket and adds one request to the demand. */
+function recordArrival(
   bucket: Bucket,
   options: {
     readonly rate: number;
--- a/packages/routing/src/crash_suspects.ts
+++ b/packages/routing/src/crash_suspects.ts
@@ -19,8 +19,8 @@
 export interface SuspectReport {
   readonly fingerprint: string;
   /**
-   * For each crash: the name of the target's incarnation, and the age of the
-   * crash.
+   * For each crash: the name of the target's incarnation, the age of the crash,
+   * and the age of the send.
    */
   readonly crashes: readonly (readonly [
     incarnation: string,
@@ -65,9 +65,10 @@
  */
 const QUARANTINE_DURATIONS_MS = [30_000, 600_000] as const;
 /**
- * Time after which a trial without a crash has shown that its target survives.
+ * Minimum time between two trials of a request. A crash caused by the first one
+ * has been reported by then.
  */
-const TRIAL_MS = 6_000;
+const MIN_TRIAL_INTERVAL_MS = 6_000;
 /** A request without a crash for this long is forgotten. */
 const CRASH_RETENTION_MS = 24 * 3_600_000;
 /**
@@ -77,15 +78,18 @@
 const CLEARED_RETENTION_MS = 60_000;
 const MAX_SUSPECTS = 1_024;
 /**
- * A request that was sent to a target more than this after the target ended has
- * not ended it. Times from other instances are late by the latency of their
- * datagrams.
+ * A request that was sent more than this after its target process had ended
+ * cannot have crashed it. Times from other instances are late by the latency of
+ * their datagrams.
  */
 const LATE_SEND_MS = 100;
 const MAX_INCARNATIONS = 1_024;
 /** Further crashes change no decision. */
 const MAX_KEPT_CRASHES = 5;
-/** Reports that are repeated periodically: one or two datagrams each second. */
+/**
+ * Maximum number of reports that are repeated each second. Four of them fit
+ * into one datagram.
+ */
 const MAX_REPORTS = 12;
 
 export class CrashSuspects {
@@ -107,8 +111,8 @@
   }
 
   /**
-   * Returns false if the crash is known already or a response has cleared the
-   * request since.
+   * Records a crash. Returns false if it adds nothing: it is known already, a
+   * response has cleared the request since, or `MAX_KEPT_CRASHES` are recorded.
    */
   recordCrash(fingerprint: string, incarnation: string, crash: Crash): boolean {
     this.#recordEnd(incarnation, crash.atMs);
@@ -157,7 +161,7 @@
     const crashes = this.#listCrashes(suspect);
     const endsAtMs = Math.max(
       computeQuarantineEnd(crashes),
-      suspect.trialAtMs + TRIAL_MS,
+      suspect.trialAtMs + MIN_TRIAL_INTERVAL_MS,
     );
     if (nowMs >= endsAtMs) {
       suspect.trialAtMs = nowMs;
--- a/packages/routing/src/retry_budget.ts
+++ b/packages/routing/src/retry_budget.ts
@@ -5,7 +5,7 @@
  * retried, and the load doubles when capacity is lowest. The budget is a
  * fraction of the first attempts of this instance plus its part of a fixed
  * reserve, both over a sliding window. The budgets of all instances add up to
- * the configured total, whatever the number of instances.
+ * less than the configured total, whatever the number of instances.
  */
 
 export interface RetryLimits {
@@ -17,10 +17,10 @@
 }
 
 /**
- * Fraction of the budget that this instance uses: instances count their sends
+ * Each instance uses this fraction of its budget: instances count their sends
  * separately, so their sum needs a margin below the total.
  */
-const USED_FRACTION = 0.6;
+const BUDGET_FRACTION = 0.6;
 
 export class RetryBudget {
   #limits: RetryLimits;
@@ -47,7 +47,7 @@
     this.#retries = removeBefore(this.#retries, oldest);
     const earned = this.#limits.ratio * this.#firstAttempts.length;
     const reserve = this.#limits.reserve / Math.max(1, instances);
-    if (this.#retries.length + 1 > USED_FRACTION * (earned + reserve)) {
+    if (this.#retries.length + 1 > BUDGET_FRACTION * (earned + reserve)) {
       return false;
     }
     this.#retries.push(nowMs);
--- a/packages/routing/src/service_places.ts
+++ b/packages/routing/src/service_places.ts
@@ -31,9 +31,11 @@
 }
 
 export type RefusalReason =
+  /** No known target has places for the request. */
   | "no-target"
   /** The requests ahead would take until after the latest start. */
   | "overloaded"
+  /** The latest start passed while the request was queued. */
   | "waited-too-long"
   /** The only target that may run the request does not respond. */
   | "owner-silent";
@@ -62,17 +64,22 @@
  */
 const OVERCOMMIT = 2;
 /**
- * The same limit for a request that only one target may run: more requests may
- * be in that target's own queue. Counts of other instances arrive late, and a
- * target whose queue overflows may never answer.
+ * The same limit for requests that only one target may run. It is higher, so
+ * that more of them may be in that target's own queue, but it is limited, since
+ * counts of other instances arrive late and a target whose queue overflows may
+ * never answer.
  */
 const OWNER_OVERCOMMIT = 5;
 /**
- * A target in another data centre must be faster by this factor of the service
- * time to be preferred, since traffic between data centres is paid for.
+ * A target in another data centre is preferred only if its response is expected
+ * this many average service times earlier, since traffic between data centres
+ * is paid for.
+ */
+const REMOTE_COST_SERVICE_TIMES = 1.2;
+/**
+ * Retry-After if no target has places for the request, or if its owner does not
+ * respond.
  */
-const REMOTE_COST_FACTOR = 1.2;
-/** Retry-After while all targets are suspended or unknown. */
 const NO_TARGET_RETRY_MS = 300;
 /** Minimum Retry-After of a refused request. */
 const MIN_RETRY_MS = 20;
@@ -273,7 +280,7 @@
         ? load
         : undefined;
     }
-    return this.#chooseFastest(request, nowMs);
+    return this.#chooseEarliestResponse(request, nowMs);
   }
 
   /**
@@ -283,7 +290,7 @@
    * certain to be late, so it waits for a fast target instead, and is refused
    * if none gets room in time.
    */
-  #chooseFastest(
+  #chooseEarliestResponse(
     request: PlaceRequest,
     nowMs: number,
   ): TargetLoad | undefined {
@@ -337,7 +344,7 @@
   ): number {
     return load.target.dataCentre === this.#options.dataCentre
       ? 0
-      : REMOTE_COST_FACTOR *
+      : REMOTE_COST_SERVICE_TIMES *
         (averageMs ?? load.estimateServiceMs(nowMs, averageMs));
   }
 
--- a/packages/routing/src/service_places_test.ts
+++ b/packages/routing/src/service_places_test.ts
@@ -143,8 +143,8 @@
 });
 
 test("less urgent requests queued at other instances do not count as ahead", () => {
-  // A flood of lookups arrives. If they counted as ahead of everything, a more
-  // urgent settlement would be refused.
+  // A flood of requests with priority 2 arrives. If they counted as ahead of
+  // everything, a request with priority 0 would be refused.
   const places = createPlaces(createTarget("a"));
   places.getLoad("a")!.recordResponse(100, 0);
   places.setPeerQueueLengths("other", new Map([["", [0, 0, 50]]]), 0);
--- a/packages/routing/src/target_incarnation.ts
+++ b/packages/routing/src/target_incarnation.ts
@@ -8,7 +8,10 @@
   readonly bornMs?: number;
 }
 
-/** Returns a unique name of this incarnation. */
+/**
+ * Returns a name of this incarnation, which is unique if the target reports its
+ * start time.
+ */
 export function formatTargetIncarnation(
   { id, bornMs }: TargetIncarnation,
 ): string {
--- a/packages/routing/src/target_load.ts
+++ b/packages/routing/src/target_load.ts
@@ -15,8 +15,8 @@
 /** Service time of a cold target, as a multiple of its usual service time. */
 const COLD_FACTOR = 2;
 /**
- * Unknown queueing makes the service time look up to twice as long; beyond this
- * factor the target itself is slow.
+ * Queueing that this instance does not know of can double the measured service
+ * time. A larger factor means that the target itself is slow.
  */
 const SLOW_FACTOR = 2.5;
 /**
--- a/packages/routing/src/unanswered_sends.ts
+++ b/packages/routing/src/unanswered_sends.ts
@@ -23,7 +23,10 @@
   readonly sentAtMs: number;
 }
 
-/** Entries of ended targets go after three missed heartbeats (about 3 s). */
+/**
+ * Longer than it takes until the store entry of an ended target is removed,
+ * which is after three missed heartbeats (about 3 s).
+ */
 const RETENTION_MS = 6_000;
 /** More than a target runs and queues at one time. */
 const MAX_PER_TARGET = 32;
--- a/packages/routing/src/wait_queue.ts
+++ b/packages/routing/src/wait_queue.ts
@@ -113,10 +113,10 @@
   }
 
   /**
-   * Estimates how many requests are served before this one. Requests of the
-   * same priority at other instances count, since their order is not known.
-   * Less urgent ones must not count: a flood of the least urgent would cause
-   * the most urgent to be refused.
+   * Estimates how many requests are served before this one. For a request
+   * without a share, requests of the same priority at other instances count,
+   * since their order is not known. Less urgent ones must not count: a flood of
+   * the least urgent would cause the most urgent to be refused.
    */
   countAhead(request: Request, nowMs: number): number {
     let ahead = 0;
@@ -131,11 +131,13 @@
     }
     const peers = [...this.#peerLengths.values()]
       .filter(({ atMs }) => nowMs - atMs <= PEER_LENGTHS_VALID_MS);
-    // The start tags of peers' requests are unknown, so each peer is assumed to
-    // have as many requests ahead as this instance.
+    // Without shares, the order depends on priority only, so the peers' counts
+    // suffice.
     if (request.share === undefined) {
       return ahead + countPeersAhead(peers, request);
     }
+    // The start tags of peers' requests are unknown, so each peer is assumed to
+    // have as many requests ahead as this instance.
     const peerInstances = peers.reduce(
       (sum, { instances }) => sum + instances,
       0,
--- a/packages/routing/src/weighted_splitter.ts
+++ b/packages/routing/src/weighted_splitter.ts
@@ -4,7 +4,7 @@
  * Load pattern: each instance gets a few dozen requests per second. With random
  * selection, 100 requests of a part with weight 0.1 miss their share by a third
  * in one case of three. Choosing the part that is furthest behind its share
- * keeps any sequence of requests within one request of it. A part without
+ * keeps every part within about one request of its share. A part without
  * capacity keeps its share: the excess is refused by its service.
  */
 import type { Route } from "@lentilspur/ports/routing_table";
--- a/packages/routing/src/weighted_splitter_test.ts
+++ b/packages/routing/src/weighted_splitter_test.ts
@@ -17,7 +17,7 @@
   };
 }
 
-test("every part is within one request of its share at any time", () => {
+test("every part stays within as many requests of its share as there are parts", () => {
   fc.assert(
     fc.property(
       fc.array(fc.integer({ min: 1, max: 100 }), {
