--- a/packages/trials/src/load/event_queue.ts
+++ b/packages/trials/src/load/event_queue.ts
@@ -1,4 +1,4 @@
-/** Things that happen at times, in order; the simulation's only clock. */
+/** Runs scheduled events in order of time; the only clock of a simulation. */
 
 interface ScheduledEvent {
   readonly atMs: number;
@@ -8,7 +8,7 @@
 
 export class EventQueue {
   readonly #heap: ScheduledEvent[] = [];
-  #count = 0;
+  #scheduledCount = 0;
   #nowMs = 0;
 
   get nowMs(): number {
@@ -18,7 +18,7 @@
   schedule(afterMs: number, run: () => void): void {
     const event = {
       atMs: this.#nowMs + Math.max(0, afterMs),
-      order: this.#count++,
+      order: this.#scheduledCount++,
       run,
     };
     this.#heap.push(event);
@@ -53,7 +53,7 @@
       if (isBefore(this.#heap[parent]!, this.#heap[index]!)) {
         return;
       }
-      this.#move(parent, index);
+      this.#moveItems(parent, index);
       index = parent;
     }
   }
@@ -71,12 +71,12 @@
       if (first === index) {
         return;
       }
-      this.#move(first, index);
+      this.#moveItems(first, index);
       index = first;
     }
   }
 
-  #move(left: number, right: number): void {
+  #moveItems(left: number, right: number): void {
     const heap = this.#heap;
     [heap[left], heap[right]] = [heap[right]!, heap[left]!];
   }
--- a/packages/trials/src/load/places_simulation.ts
+++ b/packages/trials/src/load/places_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Several instances that share targets, without a network: the very modules
- * that choose places, fed with requests, answers and what peers tell, at the
- * delays that a network has. What callers get is counted.
+ * Simulates several instances that share targets, without a network. The real
+ * modules that choose places receive requests, responses and the load reports of
+ * peers with the delays of a network. The simulation counts the results.
  */
 import type { KnownTarget } from "@lentilspur/ports/routing_table";
 import type { AccountShare } from "@lentilspur/routing/fair_scheduler";
@@ -15,17 +15,17 @@
 export interface SimulatedTarget {
   readonly id: string;
   readonly dataCentre: string;
-  /** Relative to the usual; it may change in time. */
+  /** Speed relative to 1, the normal speed; may change over time. */
   readonly getSpeed: (nowMs: number) => number;
 }
 
-/** Requests of one kind. */
+/** A stream of requests of one kind. */
 export interface RequestStream {
   readonly perSecond: (nowMs: number) => number;
   readonly priority: number;
   readonly latencyGoalMs: number;
   readonly deadlineMs: number;
-  /** The only target that may run a request, where there is one. */
+  /** Returns the only target that may run a request; absent if any target may. */
   readonly chooseOwner?: (random: TrafficRandom) => string;
   readonly share?: AccountShare;
 }
@@ -38,37 +38,40 @@
   readonly workMs: number;
   readonly streams: readonly RequestStream[];
   readonly durationMs: number;
-  /** How often an instance tells others what it has; 40 and 250 where left out. */
+  /**
+   * Mean intervals at which an instance reports its load to peers in its own and
+   * in other data centres; 40 and 250 ms by default.
+   */
   readonly reportIntervals?: {
-    readonly nearMs: number;
-    readonly farMs: number;
+    readonly localMs: number;
+    readonly remoteMs: number;
   };
 }
 
-/** What the callers of one stream got. */
+/** Results of the requests of one stream. */
 export interface StreamResult {
   readonly asked: number;
   readonly inTime: number;
   readonly late: number;
   readonly refused: number;
-  /** Refused after more than a tenth of the deadline. */
+  /** Requests that were refused after more than a tenth of the deadline. */
   readonly refusedLate: number;
 }
 
 export interface LoadResult {
   readonly streams: readonly StreamResult[];
-  /** Most requests that a target had at one time. */
+  /** Largest number of requests at one target at one time, running and queued. */
   readonly maxAtTarget: number;
 }
 
 const PLACES = 2;
-/** One way between an instance and a target. */
-const TRAVEL_MS = 1;
-/** As a dozen instances do. */
-const DEFAULT_REPORT_INTERVALS = { nearMs: 40, farMs: 250 };
-const TICK_MS = 20;
+/** One-way network delay between an instance and a target. */
+const NETWORK_DELAY_MS = 1;
+/** The report intervals in a deployment of a dozen instances. */
+const DEFAULT_REPORT_INTERVALS = { localMs: 40, remoteMs: 250 };
+const DISPATCH_INTERVAL_MS = 20;
 
-interface Counter {
+interface StreamCounts {
   asked: number;
   inTime: number;
   late: number;
@@ -81,7 +84,7 @@
   readonly finish: () => void;
 }
 
-/** A target's two places and its queue, in order of arrival. */
+/** A target with two places and a queue in order of arrival. */
 class TargetQueue {
   readonly #events: EventQueue;
   readonly #target: SimulatedTarget;
@@ -127,8 +130,8 @@
   readonly #random: TrafficRandom;
   readonly #queues = new Map<string, TargetQueue>();
   readonly #places: ServicePlaces[] = [];
-  readonly #counters: Counter[];
-  #requests = 0;
+  readonly #streamCounts: StreamCounts[];
+  #requestCount = 0;
 
   constructor(scenario: LoadScenario) {
     this.#scenario = scenario;
@@ -147,7 +150,7 @@
       places.setTargets(targets);
       this.#places.push(places);
     }
-    this.#counters = scenario.streams.map(() => ({
+    this.#streamCounts = scenario.streams.map(() => ({
       asked: 0,
       inTime: 0,
       late: 0,
@@ -159,19 +162,19 @@
   run(): LoadResult {
     const {
       streams,
-      durationMs: lengthMs,
+      durationMs,
       instances,
-      reportIntervals: telling = DEFAULT_REPORT_INTERVALS,
+      reportIntervals = DEFAULT_REPORT_INTERVALS,
     } = this.#scenario;
     streams.forEach((_, index) => this.#scheduleArrival(index));
     for (let index = 0; index < instances; index++) {
-      this.#scheduleTick(index);
-      this.#scheduleLoadReport(index, telling.nearMs, true);
-      this.#scheduleLoadReport(index, telling.farMs, false);
+      this.#scheduleDispatch(index);
+      this.#scheduleLoadReport(index, reportIntervals.localMs, true);
+      this.#scheduleLoadReport(index, reportIntervals.remoteMs, false);
     }
-    this.#events.runUntil(lengthMs);
+    this.#events.runUntil(durationMs);
     return {
-      streams: this.#counters,
+      streams: this.#streamCounts,
       maxAtTarget: Math.max(
         ...[...this.#queues.values()].map((q) => q.maxLength),
       ),
@@ -186,61 +189,64 @@
   #scheduleArrival(stream: number): void {
     const { nowMs } = this.#events;
     const perSecond = this.#scenario.streams[stream]!.perSecond(nowMs);
-    const gapMs = this.#random.drawExponential(1_000 / perSecond);
-    this.#events.schedule(gapMs, () => {
+    const delayMs = this.#random.drawExponential(1_000 / perSecond);
+    this.#events.schedule(delayMs, () => {
       this.#sendRequest(stream);
       this.#scheduleArrival(stream);
     });
   }
 
-  #scheduleTick(instance: number): void {
-    this.#events.schedule(TICK_MS, () => {
+  #scheduleDispatch(instance: number): void {
+    this.#events.schedule(DISPATCH_INTERVAL_MS, () => {
       this.#places[instance]!.dispatchQueued(this.#events.nowMs);
-      this.#scheduleTick(instance);
+      this.#scheduleDispatch(instance);
     });
   }
 
-  /** What an instance has at each target reaches the others. */
-  #scheduleLoadReport(instance: number, gapMs: number, near: boolean): void {
-    this.#events.schedule(gapMs * (0.5 + this.#random.draw()), () => {
+  /** Reports an instance's requests at each target and its queues to its peers. */
+  #scheduleLoadReport(
+    instance: number,
+    intervalMs: number,
+    toLocalPeers: boolean,
+  ): void {
+    this.#events.schedule(intervalMs * (0.5 + this.#random.draw()), () => {
       const own = this.#places[instance]!;
       const counts = own.listLoads()
         .map((load) => [load.target.id, load.ownCount] as const);
-      const waits = own.countQueued();
-      this.#places.forEach((places, other) => {
-        const isNear =
-          this.#getDataCentre(other) === this.#getDataCentre(instance);
-        if (other !== instance && isNear === near) {
-          this.#events.schedule(TRAVEL_MS, () => {
+      const queueLengths = own.countQueued();
+      this.#places.forEach((places, peer) => {
+        const isLocal =
+          this.#getDataCentre(peer) === this.#getDataCentre(instance);
+        if (peer !== instance && isLocal === toLocalPeers) {
+          this.#events.schedule(NETWORK_DELAY_MS, () => {
             const { nowMs } = this.#events;
             for (const [id, count] of counts) {
               places.getLoad(id)?.setPeerCount(`${instance}`, count, nowMs);
             }
-            places.setPeerQueueLengths(`${instance}`, waits, nowMs);
+            places.setPeerQueueLengths(`${instance}`, queueLengths, nowMs);
             places.dispatchQueued(nowMs);
           });
         }
       });
-      this.#scheduleLoadReport(instance, gapMs, near);
+      this.#scheduleLoadReport(instance, intervalMs, toLocalPeers);
     });
   }
 
   #sendRequest(stream: number): void {
     const { streams, instances, workMs } = this.#scenario;
-    const { priority: rank, latencyGoalMs: goalMs, chooseOwner, share } =
-      streams[stream]!;
+    const { priority, latencyGoalMs, chooseOwner, share } = streams[stream]!;
     const { nowMs } = this.#events;
     const instance = this.#random.drawIndex(instances);
-    const requestId = `${this.#requests++}`;
+    const requestId = `${this.#requestCount++}`;
     const owner = chooseOwner?.(this.#random);
-    this.#counters[stream]!.asked++;
+    this.#streamCounts[stream]!.asked++;
     const places = this.#places[instance]!;
     places.submit(
       {
         requestId,
-        priority: rank,
+        priority,
         arrivedAtMs: nowMs,
-        latestStartMs: nowMs + goalMs -
+        latestStartMs: nowMs + latencyGoalMs -
           (places.getAverageServiceMs() ?? workMs),
         excluded: new Set(),
         ...(owner === undefined ? {} : { owner }),
@@ -262,13 +268,13 @@
     decision: PlaceDecision,
   ): void {
     const { stream, instance, requestId, nowMs: arrivedAtMs } = request;
-    const counter = this.#counters[stream]!;
-    const { latencyGoalMs: goalMs, deadlineMs } = this.#scenario
+    const counts = this.#streamCounts[stream]!;
+    const { latencyGoalMs, deadlineMs } = this.#scenario
       .streams[stream]!;
     if (decision.kind === "refused") {
-      counter.refused++;
-      const heldMs = this.#events.nowMs - arrivedAtMs;
-      counter.refusedLate += heldMs > deadlineMs / 10 ? 1 : 0;
+      counts.refused++;
+      const waitedMs = this.#events.nowMs - arrivedAtMs;
+      counts.refusedLate += waitedMs > deadlineMs / 10 ? 1 : 0;
       return;
     }
     const sentAtMs = this.#events.nowMs;
@@ -276,19 +282,22 @@
     const queue = this.#queues.get(target.id)!;
     const places = this.#places[instance]!;
     const finish = () =>
-      this.#events.schedule(TRAVEL_MS, () => {
+      this.#events.schedule(NETWORK_DELAY_MS, () => {
         const { nowMs } = this.#events;
         const load = places.getLoad(target.id)!;
         load.recordEnded(requestId);
         load.recordResponse(nowMs - sentAtMs, occupancy);
         load.recordReport(queue.load, nowMs);
         const tookMs = nowMs - arrivedAtMs;
-        counter.inTime += tookMs <= goalMs ? 1 : 0;
-        counter.late += tookMs > goalMs ? 1 : 0;
+        counts.inTime += tookMs <= latencyGoalMs ? 1 : 0;
+        counts.late += tookMs > latencyGoalMs ? 1 : 0;
         places.dispatchQueued(nowMs);
       });
     const workMs = this.#random.drawServiceTime(this.#scenario.workMs);
-    this.#events.schedule(TRAVEL_MS, () => queue.add({ workMs, finish }));
+    this.#events.schedule(
+      NETWORK_DELAY_MS,
+      () => queue.add({ workMs, finish }),
+    );
   }
 }
 
--- a/packages/trials/src/load/places_simulation_test.ts
+++ b/packages/trials/src/load/places_simulation_test.ts
@@ -12,9 +12,9 @@
 const DATA_CENTRES = ["bole", "kirkos", "yeka"];
 const SPEEDS = [0.6, 1, 1.4];
 const WORK_MS = 60;
-const LENGTH_MS = 20_000;
-/** Of 12 targets with 2 places each, at these speeds. */
-const CAPACITY = 12 * 2 * 1_000 / WORK_MS;
+const DURATION_MS = 20_000;
+/** Requests per second of 12 targets with 2 places each, at these speeds. */
+const CAPACITY_PER_SECOND = 12 * 2 * 1_000 / WORK_MS;
 
 function createTargets(
   getSlowness: (index: number, nowMs: number) => number = () => 1,
@@ -41,69 +41,76 @@
     dataCentres: DATA_CENTRES,
     targets: createTargets(),
     workMs: WORK_MS,
-    durationMs: LENGTH_MS,
+    durationMs: DURATION_MS,
     streams,
     ...changes,
   }).run();
 }
 
-function computeInTime({ inTime, asked }: StreamResult): number {
+function computeInTimeRatio({ inTime, asked }: StreamResult): number {
   return inTime / asked;
 }
 
-test("usual load: nearly all in time, targets never near the end of their queue", () => {
+test("at 55% load, nearly all requests are in time and targets have short queues", () => {
   const { streams: [result], maxAtTarget } = runScenario([
-    createStream(() => 0.55 * CAPACITY),
+    createStream(() => 0.55 * CAPACITY_PER_SECOND),
   ]);
-  assert.ok(computeInTime(result!) > 0.97, JSON.stringify(result));
+  assert.ok(computeInTimeRatio(result!) > 0.97, JSON.stringify(result));
   assert.ok(maxAtTarget <= 8, `${maxAtTarget} at one target`);
 });
 
-test("twice what the targets can do: three quarters of it is done in time", () => {
-  // Nothing is gained by waiting: what cannot be in time is told at once, and
-  // the places serve those who still have a use for their answers.
-  const { streams: [result] } = runScenario([createStream(() => 2 * CAPACITY)]);
-  const possible = CAPACITY * LENGTH_MS / 1_000;
+test("at twice the capacity, three quarters of the capacity is served in time", () => {
+  // Queueing gains nothing under overload: requests that cannot be in time are
+  // refused at once, so that places serve callers that can still use a response.
+  const { streams: [result] } = runScenario([
+    createStream(() => 2 * CAPACITY_PER_SECOND),
+  ]);
+  const possible = CAPACITY_PER_SECOND * DURATION_MS / 1_000;
   assert.ok(result!.inTime > 0.72 * possible, JSON.stringify(result));
   assert.ok(result!.late < 0.1 * result!.inTime, JSON.stringify(result));
   assert.ok(result!.refusedLate < 0.02 * result!.refused);
 });
 
-test("overload of what is less urgent leaves the urgent in time", () => {
-  const urgent = { ...createStream(() => 0.3 * CAPACITY), priority: 0 };
+test("an overload of low priority leaves requests of high priority in time", () => {
+  const urgent = {
+    ...createStream(() => 0.3 * CAPACITY_PER_SECOND),
+    priority: 0,
+  };
   const { streams: [first, second] } = runScenario([
     urgent,
-    createStream(() => 1.5 * CAPACITY),
+    createStream(() => 1.5 * CAPACITY_PER_SECOND),
   ]);
-  assert.ok(computeInTime(first!) > 0.75, JSON.stringify(first));
-  assert.ok(computeInTime(second!) > 0.2, JSON.stringify(second));
+  assert.ok(computeInTimeRatio(first!) > 0.75, JSON.stringify(first));
+  assert.ok(computeInTimeRatio(second!) > 0.2, JSON.stringify(second));
 });
 
-test("a burst of 1.7 times for 3 s is over when it is over", () => {
+test("a burst of 1.7 times the load for 3 s leaves no lasting backlog", () => {
   const isBurst = (nowMs: number) => nowMs > 5_000 && nowMs < 8_000;
   const { streams: [result] } = runScenario([
-    createStream((nowMs) => (isBurst(nowMs) ? 1.7 : 1) * 0.6 * CAPACITY),
+    createStream((nowMs) =>
+      (isBurst(nowMs) ? 1.7 : 1) * 0.6 * CAPACITY_PER_SECOND
+    ),
   ]);
-  assert.ok(computeInTime(result!) > 0.9, JSON.stringify(result));
+  assert.ok(computeInTimeRatio(result!) > 0.9, JSON.stringify(result));
 });
 
-test("a sixth of the targets turns five times slower: the others carry on", () => {
+test("when a sixth of the targets become five times slower, the others keep requests in time", () => {
   const targets = createTargets((index, nowMs) =>
     index < 2 && nowMs > 5_000 ? 5 : 1
   );
   const { streams: [result] } = runScenario(
-    [createStream(() => 0.5 * CAPACITY)],
+    [createStream(() => 0.5 * CAPACITY_PER_SECOND)],
     { targets },
   );
-  assert.ok(computeInTime(result!) > 0.95, JSON.stringify(result));
+  assert.ok(computeInTimeRatio(result!) > 0.95, JSON.stringify(result));
 });
 
-test("39 instances that hear of each other late do not all choose one target", () => {
-  // A data centre of a large deployment: 17 targets of 0.5 to 1.5 times the usual
-  // speed, two thirds of what they can do. What others have there is heard of
-  // 150 ms later; meanwhile all would send to the target that looks best, twelve
-  // where two can run, and one that is full may never answer. Taking the best
-  // always, 83 % were in time and 3 % refused; 93 % and none played here.
+test("39 instances with late load reports do not all choose one target", () => {
+  // Load reports arrive 150 ms late. If all instances choose the best-looking target, it gets
+  // twelve requests and runs two, and a full target may never respond: 83% were in time and 3%
+  // refused. With the current choice, 93% are in time and none refused.
+
+  // A large data centre at two thirds of its capacity: 17 targets of 0.5 to 1.5 times normal speed.
   const speeds = [0.5, 1, 1, 1.5];
   const targets = Array.from({ length: 17 }, (_, index) => ({
     id: `t${index}`,
@@ -122,29 +129,29 @@
     targets,
     workMs: 300,
     durationMs: 5_000,
-    reportIntervals: { nearMs: 150, farMs: 300 },
+    reportIntervals: { localMs: 150, remoteMs: 300 },
   });
-  assert.ok(computeInTime(result!) > 0.85, JSON.stringify(result));
+  assert.ok(computeInTimeRatio(result!) > 0.85, JSON.stringify(result));
   assert.ok(result!.refused < 0.02 * result!.asked, JSON.stringify(result));
-  // Two run and eight wait: what comes then may never be answered.
+  // Two requests run and eight wait; further requests may never get a response.
   assert.ok(maxAtTarget <= 10, `${maxAtTarget} at one target`);
 });
 
-test("an account that floods leaves more to the other than the order of arrival", () => {
-  // Both have the same weight. One asks for one and a half times what all
-  // targets can do, the other for a third of it.
+test("fair shares serve a modest account better than order of arrival during a flood", () => {
+  // Both accounts have the same weight. One sends one and a half times the
+  // capacity of all targets, the other about a third of it.
   const flood: RequestStream = {
-    ...createStream(() => 1.5 * CAPACITY),
+    ...createStream(() => 1.5 * CAPACITY_PER_SECOND),
     share: { clientAccount: "flood", weight: 1 },
   };
   const modest: RequestStream = {
-    ...createStream(() => 0.3 * CAPACITY),
+    ...createStream(() => 0.3 * CAPACITY_PER_SECOND),
     share: { clientAccount: "modest", weight: 1 },
   };
   const fair = runScenario([flood, modest]).streams[1]!;
   const { share: _flood, ...floodAlone } = flood;
   const { share: _modest, ...modestAlone } = modest;
   const unfair = runScenario([floodAlone, modestAlone]).streams[1]!;
-  assert.ok(computeInTime(fair) > 0.55, JSON.stringify(fair));
-  assert.ok(computeInTime(fair) > 1.3 * computeInTime(unfair));
+  assert.ok(computeInTimeRatio(fair) > 0.55, JSON.stringify(fair));
+  assert.ok(computeInTimeRatio(fair) > 1.3 * computeInTimeRatio(unfair));
 });
--- a/packages/trials/src/measure/load_measurement.ts
+++ b/packages/trials/src/measure/load_measurement.ts
@@ -1,4 +1,4 @@
-/** What callers get of 12 instances and 12 targets, by load. No clock counts. */
+/** Measures how 12 instances and 12 targets serve callers, by load, in virtual time. */
 import {
   PlacesSimulation,
   type RequestStream,
@@ -14,8 +14,8 @@
   dataCentre: DATA_CENTRES[index % 3]!,
   getSpeed: () => SPEEDS[Math.floor(index / 3) % 3]!,
 }));
-const CAPACITY = TARGETS.length * 2 * 1_000 / WORK_MS;
-const LENGTH_MS = 12_000;
+const CAPACITY_PER_SECOND = TARGETS.length * 2 * 1_000 / WORK_MS;
+const DURATION_MS = 12_000;
 const SEEDS = [5, 6, 7];
 
 export function measureLoad(): MeasuredTable {
@@ -23,14 +23,15 @@
     [0.55, 0.75, 0.95, 1.3, 2].map((load) => measureRow(load, keyed))
   );
   return {
-    title: "requests of one rank, goal 250 ms, work 60 ms, 3 seeds of 12 s",
+    title:
+      "requests of one priority, latency goal 250 ms, work 60 ms, 3 seeds of 12 s",
     columns: [
       "load",
       "in time, 1/s",
       "in time",
       "late",
       "refused",
-      "most at a target",
+      "max at a target",
     ],
     rows,
   };
@@ -38,7 +39,7 @@
 
 function measureRow(load: number, keyed: boolean) {
   const stream: RequestStream = {
-    perSecond: () => load * CAPACITY,
+    perSecond: () => load * CAPACITY_PER_SECOND,
     priority: 1,
     latencyGoalMs: 250,
     deadlineMs: 1_500,
@@ -51,7 +52,7 @@
       dataCentres: DATA_CENTRES,
       targets: TARGETS,
       workMs: WORK_MS,
-      durationMs: LENGTH_MS,
+      durationMs: DURATION_MS,
       streams: [stream],
     }).run()
   );
@@ -60,7 +61,7 @@
   const asked = sum("asked");
   return [
     `${load} of capacity, ${keyed ? "by owner" : "any target"}`,
-    sum("inTime") * 1_000 / (SEEDS.length * LENGTH_MS),
+    sum("inTime") * 1_000 / (SEEDS.length * DURATION_MS),
     sum("inTime") / asked,
     sum("late") / asked,
     sum("refused") / asked,
@@ -68,10 +69,10 @@
   ];
 }
 
-/** Owners by their speed, as the planner would have it. */
+/** Draws an owner in proportion to its speed, as the planner distributes keys. */
 function chooseOwner(random: TrafficRandom): string {
   const total = TARGETS.reduce((sum, { getSpeed }) => sum + getSpeed(), 0);
-  let left = random.draw() * total;
-  const found = TARGETS.find(({ getSpeed }) => (left -= getSpeed()) < 0);
+  let remaining = random.draw() * total;
+  const found = TARGETS.find(({ getSpeed }) => (remaining -= getSpeed()) < 0);
   return (found ?? TARGETS[0]!).id;
 }
--- a/packages/trials/src/measure/measure_cli.ts
+++ b/packages/trials/src/measure/measure_cli.ts
@@ -1,4 +1,4 @@
-/** `npm run measure -- load`: one measurement, as a table. */
+/** `npm run measure -- load`: runs one measurement and prints a table. */
 import process from "node:process";
 import { binary, command, run, subcommands } from "cmd-ts";
 import { measureLoad } from "./load_measurement.ts";
@@ -9,9 +9,12 @@
 type Measure = () => MeasuredTable | Promise<MeasuredTable>;
 
 const MEASUREMENTS = {
-  load: ["What callers get, by load, in a simulation", measureLoad],
-  ownership: ["How long keys are without an owner", measureOwnership],
-  processes: ["What instances cost at rest and a request", measureProcesses],
+  load: ["How callers are served, by load, in a simulation", measureLoad],
+  ownership: ["How long keys have no owner after a loss", measureOwnership],
+  processes: [
+    "Resources that instances use at rest and per request",
+    measureProcesses,
+  ],
 } as const satisfies Readonly<Record<string, readonly [string, Measure]>>;
 
 const cmds = Object.fromEntries(
--- a/packages/trials/src/measure/measured_table.ts
+++ b/packages/trials/src/measure/measured_table.ts
@@ -1,4 +1,4 @@
-/** What a measurement gives, and how it is printed. */
+/** Defines the table of a measurement, and formats it as text. */
 
 export type Cell = string | number;
 
@@ -8,7 +8,7 @@
   readonly rows: readonly (readonly Cell[])[];
 }
 
-/** One row a line, columns aligned. */
+/** Formats the title and one line per row, with aligned columns. */
 export function formatTable(table: MeasuredTable): string {
   const lines = [
     table.columns,
--- a/packages/trials/src/measure/ownership_measurement.ts
+++ b/packages/trials/src/measure/ownership_measurement.ts
@@ -1,44 +1,44 @@
-/** How long keys are without an owner after a loss, in virtual time. */
+/** Measures how long keys have no owner after a loss, in virtual time. */
 import { KeeperSimulation } from "@lentilspur/gateway/keeper/keeper_simulation";
 import type { MeasuredTable } from "./measured_table.ts";
 
 const TARGETS = ["a", "b", "c", "d"];
 const INSTANCES = ["one", "two", "three"];
 const STEP_MS = 10;
-const LIMIT_MS = 60_000;
-/** Keys whose owner is looked at. */
+const DURATION_MS = 60_000;
+/** Keys whose owners are checked. */
 const KEYS = Array.from({ length: 64 }, (_, index) => index * 1_024 + 5);
 
 interface Loss {
   readonly name: string;
-  readonly inject: (world: KeeperSimulation) => void;
+  readonly inject: (simulation: KeeperSimulation) => void;
 }
 
 const LOSSES: readonly Loss[] = [
   {
-    name: "a target ends, another process is seen at its address",
-    inject: (world) => world.killTarget("a"),
+    name: "a target ends, another process is found at its address",
+    inject: (simulation) => simulation.killTarget("a"),
   },
   {
-    name: "a target cannot be reached and leaves the list",
-    inject: (world) => {
-      world.holders.setFaultMode("a", "unreachable");
-      world.setCandidates(TARGETS.slice(1));
+    name: "a target is unreachable and leaves the list",
+    inject: (simulation) => {
+      simulation.holders.setFaultMode("a", "unreachable");
+      simulation.setCandidates(TARGETS.slice(1));
     },
   },
   {
     name: "a target leaves as planned",
-    inject: (world) => world.setCandidates(TARGETS.slice(1)),
+    inject: (simulation) => simulation.setCandidates(TARGETS.slice(1)),
   },
   {
     name: "the keeper is killed",
-    inject: (world) => world.kill(world.findKeeper()!),
+    inject: (simulation) => simulation.kill(simulation.findKeeper()!),
   },
   {
     name: "the keeper is killed, a target ends",
-    inject: (world) => {
-      world.kill(world.findKeeper()!);
-      world.killTarget("a");
+    inject: (simulation) => {
+      simulation.kill(simulation.findKeeper()!);
+      simulation.killTarget("a");
     },
   },
 ];
@@ -56,16 +56,16 @@
 }
 
 async function measureUnservedMs({ inject }: Loss): Promise<number> {
-  const world = new KeeperSimulation(TARGETS);
-  INSTANCES.forEach((name) => world.start(name));
-  await world.clock.advance(5_000);
-  inject(world);
+  const simulation = new KeeperSimulation(TARGETS);
+  INSTANCES.forEach((name) => simulation.start(name));
+  await simulation.clock.advance(5_000);
+  inject(simulation);
   let unservedMs = 0;
   let longestMs = 0;
-  for (let passedMs = 0; passedMs < LIMIT_MS; passedMs += STEP_MS) {
-    await world.clock.advance(STEP_MS);
+  for (let elapsedMs = 0; elapsedMs < DURATION_MS; elapsedMs += STEP_MS) {
+    await simulation.clock.advance(STEP_MS);
     const isServed = KEYS
-      .every((key) => world.holders.findHolder(key) !== undefined);
+      .every((key) => simulation.holders.findHolder(key) !== undefined);
     unservedMs = isServed ? 0 : unservedMs + STEP_MS;
     longestMs = Math.max(longestMs, unservedMs);
   }
--- a/packages/trials/src/measure/process_measurement.ts
+++ b/packages/trials/src/measure/process_measurement.ts
@@ -1,6 +1,7 @@
 /**
- * What instances cost as processes: at rest, and for each request. Twelve
- * instances and their stand-ins run on this machine, so nothing else should.
+ * Measures the resources that instance processes use, at rest and per request.
+ * Twelve instances and their stand-ins run on this machine, so nothing else
+ * should run on it.
  */
 import { mkdtempSync, readFileSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -18,13 +19,13 @@
 
 const INSTANCES = 12;
 const TARGETS_PER_SERVICE = 12;
-const SETTLE_MS = 6_000;
-const REST_MS = 15_000;
+const WARM_UP_MS = 6_000;
+const IDLE_MS = 15_000;
 const LOAD_MS = 10_000;
 const CONNECTIONS = 8;
-/** Below the 400 a second that the account may send. */
+/** Below the account's limit of 400 requests per second. */
 const REQUESTS_PER_SECOND = 300;
-/** Ticks of processor time a second, as Linux counts them for processes. */
+/** Clock ticks per second of CPU time in Linux's `/proc/PID/stat`. */
 const TICKS_PER_SECOND = 100;
 
 interface ResourceUsage {
@@ -52,13 +53,13 @@
       "playground/abay",
       ...["--expect-version", "0", "--operator", "measure"],
     ]);
-    await sleep(SETTLE_MS);
-    const rest = await measureRest(processes.instances);
-    const load = await measureRequests(processes.instances[0]!);
+    await sleep(WARM_UP_MS);
+    const idleRows = await measureIdle(processes.instances);
+    const loadRows = await measureRequests(processes.instances[0]!);
     return {
       title: `${INSTANCES} instances, ${3 * TARGETS_PER_SERVICE} targets`,
       columns: ["figure", "value"],
-      rows: [...rest, ...load],
+      rows: [...idleRows, ...loadRows],
     };
   } finally {
     await processes.stopAll();
@@ -66,43 +67,47 @@
   }
 }
 
-async function measureRest(instances: readonly InstanceProcess[]) {
+async function measureIdle(instances: readonly InstanceProcess[]) {
   const before = await Promise.all(instances.map(readUsage));
-  await sleep(REST_MS);
+  await sleep(IDLE_MS);
   const after = await Promise.all(instances.map(readUsage));
-  const seconds = REST_MS / 1_000;
+  const seconds = IDLE_MS / 1_000;
   const cpu = after.map((one, index) => one.cpuMs - before[index]!.cpuMs);
   const calls = after
     .map((one, index) => one.storeCalls - before[index]!.storeCalls);
   const mean = (values: readonly number[]) =>
     values.reduce((sum, value) => sum + value, 0) / values.length;
   return [
-    ["at rest, processor time, % of a core, mean", mean(cpu) / seconds / 10],
+    ["at rest, CPU time, % of a core, mean", mean(cpu) / seconds / 10],
     [
-      "at rest, processor time, % of a core, most",
+      "at rest, CPU time, % of a core, max",
       Math.max(...cpu) / seconds / 10,
     ],
     ["at rest, calls to the store, 1/s, mean", mean(calls) / seconds],
-    ["memory, MB, most", Math.max(...after.map((one) => one.memoryMb))],
+    ["memory, MB, max", Math.max(...after.map((one) => one.memoryMb))],
   ] as const;
 }
 
 async function measureRequests(instance: InstanceProcess) {
   const histogram = build();
   const before = await readUsage(instance);
-  const endsAtMs = readMonotonicMs() + LOAD_MS;
+  const deadlineMs = readMonotonicMs() + LOAD_MS;
   let count = 0;
-  const runLane = async (lane: number): Promise<void> => {
-    for (let turn = lane; readMonotonicMs() < endsAtMs; turn += CONNECTIONS) {
+  const runConnection = async (connection: number): Promise<void> => {
+    for (
+      let requestNumber = connection;
+      readMonotonicMs() < deadlineMs;
+      requestNumber += CONNECTIONS
+    ) {
       const sentAtMs = readMonotonicMs();
-      const answer = await request(
-        `http://${instance.address}/case-files/case-${turn % 997}`,
+      const response = await request(
+        `http://${instance.address}/case-files/case-${requestNumber % 997}`,
         {
           headers: { authorization: `Bearer ${ABAY.accounts[0]!.credential}` },
         },
       );
-      await answer.body.dump();
-      if (answer.statusCode === 200) {
+      await response.body.dump();
+      if (response.statusCode === 200) {
         count++;
         histogram.recordValue(
           Math.round((readMonotonicMs() - sentAtMs) * 1_000),
@@ -112,17 +117,23 @@
       await sleep(Math.max(0, dueAtMs - readMonotonicMs()));
     }
   };
-  const lanes = Array.from({ length: CONNECTIONS }, (_, lane) => runLane(lane));
-  await Promise.all(lanes);
+  const connections = Array.from(
+    { length: CONNECTIONS },
+    (_, connection) => runConnection(connection),
+  );
+  await Promise.all(connections);
   const after = await readUsage(instance);
   return [
-    ["one instance, requests answered, 1/s", count / (LOAD_MS / 1_000)],
+    ["one instance, successful requests, 1/s", count / (LOAD_MS / 1_000)],
     [
-      "one instance, processor time a request, µs",
+      "one instance, CPU time per request, µs",
       (after.cpuMs - before.cpuMs) * 1_000 / Math.max(1, count),
     ],
     ["latency, ms, median", histogram.getValueAtPercentile(50) / 1_000],
-    ["latency, ms, 99 in 100", histogram.getValueAtPercentile(99) / 1_000],
+    [
+      "latency, ms, 99th percentile",
+      histogram.getValueAtPercentile(99) / 1_000,
+    ],
   ] as const;
 }
 
@@ -143,8 +154,8 @@
 async function countStoreCalls(logFile: string): Promise<number> {
   const [, address] = /metrics on (\S+)\/metrics/
     .exec(readFileSync(logFile, "utf8"))!;
-  const answer = await request(`http://${address}/metrics`);
-  const text = await answer.body.text();
+  const response = await request(`http://${address}/metrics`);
+  const text = await response.body.text();
   return [...text.matchAll(/^lentilspur_store_calls_total\{.*\} (\d+)$/gm)]
     .reduce((sum, [, count]) => sum + Number(count), 0);
 }
--- a/packages/trials/src/soak/faulty_link.ts
+++ b/packages/trials/src/soak/faulty_link.ts
@@ -1,19 +1,20 @@
 /**
- * A proxy on loopback between a process and one that it connects to, which
- * fails as a network does: it delays, resets, or falls silent one way or both.
+ * Implements a TCP proxy on loopback that injects network faults between a
+ * process and the address that it connects to: delays, resets, and blocked
+ * traffic in one or both directions.
  */
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
 export type LinkFaultMode =
   | "passing"
-  /** Bytes and new connections go nowhere; those that are open stay open. */
+  /** Blocks bytes in both directions, also on new connections; none is closed. */
   | "silent"
-  /** What the far end says does not arrive. */
+  /** Blocks bytes from the far end. */
   | "deaf"
-  /** Every connection is reset, new ones too. */
+  /** Resets all connections, including new ones. */
   | "resetting"
-  /** All bytes come some 200 ms late. */
+  /** Delays all bytes by 200 ms. */
   | "delaying";
 
 const DELAY_MS = 200;
@@ -23,7 +24,7 @@
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
   #faultMode: LinkFaultMode = "passing";
-  /** Pieces that wait for the link to pass again. */
+  /** Blocked transfers, in order, which run when the link passes bytes again. */
   #blockedTransfers: (() => void)[] = [];
 
   constructor(target: string) {
@@ -31,7 +32,7 @@
     this.#server = createServer((near) => this.#openConnection(near));
   }
 
-  /** Listens and gives the address to connect to. */
+  /** Listens and returns the address to connect to. */
   async open(): Promise<string> {
     await new Promise<void>((resolve) =>
       this.#server.listen(0, "127.0.0.1", resolve)
@@ -39,14 +40,14 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Pieces that were held up arrive when the link passes again. */
-  setFaultMode(mood: LinkFaultMode): void {
-    this.#faultMode = mood;
-    if (mood === "resetting") {
+  /** Sets the fault mode. With `passing`, blocked bytes are delivered. */
+  setFaultMode(faultMode: LinkFaultMode): void {
+    this.#faultMode = faultMode;
+    if (faultMode === "resetting") {
       this.#blockedTransfers = [];
       this.#sockets.forEach((socket) => socket.resetAndDestroy());
     }
-    if (mood === "passing") {
+    if (faultMode === "passing") {
       this.#blockedTransfers.splice(0).forEach((release) => release());
     }
   }
@@ -70,23 +71,29 @@
   #forward(
     from: Socket,
     to: Socket,
-    holding: readonly LinkFaultMode[],
+    blockingModes: readonly LinkFaultMode[],
   ): void {
     this.#sockets.add(from);
-    from.on("data", (bytes) => this.#transfer(() => to.write(bytes), holding));
-    from.on("end", () => this.#transfer(() => to.end(), holding));
-    // The other end sees a reset as a reset.
+    from.on(
+      "data",
+      (bytes) => this.#transfer(() => to.write(bytes), blockingModes),
+    );
+    from.on("end", () => this.#transfer(() => to.end(), blockingModes));
+    // Passes a reset on to the other end.
     from.on("error", () => to.resetAndDestroy());
     from.on("close", () => this.#sockets.delete(from));
   }
 
-  #transfer(release: () => void, holding: readonly LinkFaultMode[]): void {
-    if (holding.includes(this.#faultMode)) {
-      this.#blockedTransfers.push(release);
+  #transfer(
+    transfer: () => void,
+    blockingModes: readonly LinkFaultMode[],
+  ): void {
+    if (blockingModes.includes(this.#faultMode)) {
+      this.#blockedTransfers.push(transfer);
     } else if (this.#faultMode === "delaying") {
-      setTimeout(release, DELAY_MS);
+      setTimeout(transfer, DELAY_MS);
     } else {
-      release();
+      transfer();
     }
   }
 }
--- a/packages/trials/src/soak/soak_cli.ts
+++ b/packages/trials/src/soak/soak_cli.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run soak -- --seed 7 --seconds 60`: the real programs as processes,
- * faults from outside that overlap, and the promises judged from what callers
- * and targets saw. The faults and their order follow from the seed; when each
- * strikes a process follows from the machine.
+ * `npm run soak -- --seed 7 --seconds 60`: runs the real programs as processes,
+ * injects overlapping faults from outside, and checks the guarantees by what
+ * callers and targets recorded. The seed determines the faults and their order;
+ * the moment at which a fault reaches a process depends on the machine.
  */
 import { mkdtempSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -22,10 +22,10 @@
 import { TrafficRandom } from "../traffic/traffic_random.ts";
 import { FaultInjector, SOAK_FAULTS } from "./soak_faults.ts";
 
-/** Mean time from the beginning of one fault to that of the next. */
-const FAULT_EVERY_MS = 1_500;
-/** Everything is served again this soon after the last fault is made good. */
-const RECOVERY_MS = 15_000;
+/** Mean time from the start of one fault to the start of the next. */
+const FAULT_INTERVAL_MS = 1_500;
+/** Every key must be served within this time after the last fault is reverted. */
+const RECOVERY_TIMEOUT_MS = 15_000;
 
 interface SoakArguments {
   readonly seed: number;
@@ -35,7 +35,7 @@
 
 const soakCommand = command({
   name: "soak",
-  description: "Run the real programs under faults from outside",
+  description: "Run the real programs and inject faults from outside",
   args: {
     seed: option({ long: "seed", type: number, defaultValue: () => 1 }),
     seconds: option({ long: "seconds", type: number, defaultValue: () => 45 }),
@@ -62,7 +62,7 @@
   try {
     await trial.start();
     await runFaults(trial, seed, seconds * 1_000);
-    await trial.checkRecovery(RECOVERY_MS);
+    await trial.checkRecovery(RECOVERY_TIMEOUT_MS);
     const report = await trial.stopAndReport();
     print(renderReport(report));
     print(renderSummary([report]));
@@ -80,27 +80,27 @@
 async function runFaults(
   trial: Trial,
   seed: number,
-  lengthMs: number,
+  durationMs: number,
 ): Promise<void> {
   const injector = new FaultInjector(trial, createRandom("details", seed));
-  // Of their own: how much the callers draw follows from the machine.
+  // The callers have another generator: how often they draw depends on the machine.
   const random = createRandom("faults", seed);
   const startedAtMs = readMonotonicMs();
   const running: Promise<void>[] = [];
-  while (readMonotonicMs() - startedAtMs < lengthMs) {
-    await sleep(random.drawExponential(FAULT_EVERY_MS));
+  while (readMonotonicMs() - startedAtMs < durationMs) {
+    await sleep(random.drawExponential(FAULT_INTERVAL_MS));
     const fault = SOAK_FAULTS[random.drawIndex(SOAK_FAULTS.length)]!;
     const atMs = Math.round(readMonotonicMs() - startedAtMs);
     const inject = async (): Promise<void> => {
-      const done = await injector.inject(fault);
-      print(`  ${atMs} ms: ${fault}, ${done}`);
+      const description = await injector.inject(fault);
+      print(`  ${atMs} ms: ${fault}, ${description}`);
     };
     running.push(inject());
   }
   await Promise.all(running);
 }
 
-/** Small seeds alone give first draws that are all alike. */
+/** Hashes the seed, because the first draws of small seeds are nearly equal. */
 function createRandom(purpose: string, seed: number): TrafficRandom {
   return new TrafficRandom(hashToUint32(`${purpose} ${seed}`));
 }
--- a/packages/trials/src/soak/soak_faults.ts
+++ b/packages/trials/src/soak/soak_faults.ts
@@ -1,7 +1,7 @@
 /**
- * What goes wrong in a soak. Each fault is brought about from outside the
- * processes, lasts a while, and is made good, so that the deployment keeps its
- * size. Several may be at work at once.
+ * Injects the faults of a soak. Each fault is injected from outside the
+ * processes, lasts a while, and is then reverted, so that the deployment keeps
+ * its size. Several faults may be active at once.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { StoreFaultMode } from "@lentilspur/ports/fake_store";
@@ -38,33 +38,33 @@
 
 export type SoakFault = typeof SOAK_FAULTS[number];
 
-/** Within a hold of 3 s, and beyond it. */
+/** Lengths of pauses, shorter and longer than a hold of 3 s. */
 const PAUSES_MS = [300, 1_500, 3_500, 7_000];
-const RESTARTS_MS = [100, 800, 2_500];
+const RESTART_DELAYS_MS = [100, 800, 2_500];
 const OUTAGES_MS = [500, 2_500, 6_000];
-/** A request that crashes its targets comes so often, and after this long. */
+/** A fatal request is sent this many times, `FATAL_INTERVAL_MS` apart. */
 const FATAL_REPEATS = 40;
-const FATAL_PAUSE_MS = 1_000;
+const FATAL_INTERVAL_MS = 1_000;
 const LIMITS_PER_SECOND = [0.5, 2.5, 8];
-const LIMITED_MS = 10_000;
-/** Requests for the service of a limited target, beyond those of the callers. */
-const EXTRA_EVERY_MS = 40;
-/** A target is stopped this long after it said that it leaves. */
+const RATE_LIMIT_DURATION_MS = 10_000;
+/** Interval of requests for the service of a limited target, beside the callers'. */
+const EXTRA_REQUEST_INTERVAL_MS = 40;
+/** A target is stopped this long after it announced that it leaves. */
 const LEAVING_MS = 6_000;
 
 export class FaultInjector {
   readonly #trial: Trial;
   readonly #random: TrafficRandom;
-  /** What another fault has in hand already. */
+  /** Names of the instances, targets and resources that active faults use. */
   readonly #inUse = new Set<string>();
-  #fatalRequests = 0;
+  #fatalRequestCount = 0;
 
   constructor(trial: Trial, random: TrafficRandom) {
     this.#trial = trial;
     this.#random = random;
   }
 
-  /** Resolves once the fault is made good; gives what was done. */
+  /** Injects a fault and reverts it; returns a description of what was done. */
   async inject(fault: SoakFault): Promise<string> {
     switch (fault) {
       case "instance-killed":
@@ -78,9 +78,9 @@
       case "target-leaving":
         return await this.#failTarget(fault);
       case "target-limited":
-        return await this.#setLimit();
+        return await this.#setRateLimit();
       case "request-fatal":
-        return await this.#sendFatal();
+        return await this.#sendFatalRequests();
       case "store-silent":
         return await this.#failStore("silent");
       case "store-refusing":
@@ -108,27 +108,28 @@
     fault: "instance-killed" | "instance-paused" | "instance-stopped",
   ): Promise<string> {
     const { processes } = this.#trial;
-    const instance = this.#take(processes.instances, ({ name }) => name);
+    const instance = this.#takeUnused(processes.instances, ({ name }) => name);
     if (instance === undefined) {
-      return "nothing: no instance is at hand";
+      return "skipped: no instance is available";
     }
     switch (fault) {
       case "instance-killed":
         await processes.killInstance(instance);
-        await this.#startAgain(instance);
+        await this.#restartInstance(instance);
         break;
       case "instance-stopped":
-        // Other instances may be killed meanwhile: only its own callers count.
+        // Other instances may be killed meanwhile, so only attempts sent to this
+        // instance count.
         await this.#trial.checkPlannedStop(
           instance,
           ({ outcome, entry }) =>
             outcome === "none" && entry === instance.address,
         );
-        await this.#startAgain(instance);
+        await this.#restartInstance(instance);
         break;
       case "instance-paused":
         instance.child.send("SIGSTOP");
-        await sleep(this.#draw(PAUSES_MS));
+        await sleep(this.#drawValue(PAUSES_MS));
         instance.child.send("SIGCONT");
         break;
     }
@@ -136,41 +137,41 @@
     return instance.name;
   }
 
-  /** All that are not in hand, as in a loss of power. */
+  /** Kills all instances that no other fault uses, as a power failure does. */
   async #killInstances(): Promise<string> {
     const { processes } = this.#trial;
-    const lost = processes.instances
+    const killed = processes.instances
       .filter(({ name }) => !this.#inUse.has(name));
-    lost.forEach(({ name }) => this.#inUse.add(name));
-    await Promise.all(lost.map((one) => processes.killInstance(one)));
-    await Promise.all(lost.map((one) => this.#startAgain(one)));
-    lost.forEach(({ name }) => this.#inUse.delete(name));
-    return lost.map(({ name }) => name).join(", ");
+    killed.forEach(({ name }) => this.#inUse.add(name));
+    await Promise.all(killed.map((one) => processes.killInstance(one)));
+    await Promise.all(killed.map((one) => this.#restartInstance(one)));
+    killed.forEach(({ name }) => this.#inUse.delete(name));
+    return killed.map(({ name }) => name).join(", ");
   }
 
-  async #startAgain({ name }: InstanceProcess): Promise<void> {
-    await sleep(this.#draw(RESTARTS_MS));
+  async #restartInstance({ name }: InstanceProcess): Promise<void> {
+    await sleep(this.#drawValue(RESTART_DELAYS_MS));
     await this.#trial.processes.startInstance(name);
   }
 
   async #failTarget(
     fault: "target-killed" | "target-paused" | "target-leaving",
   ): Promise<string> {
-    const { processes, leavingTargets: leaving } = this.#trial;
+    const { processes, leavingTargets } = this.#trial;
     const target = this.#takeTarget();
     if (target === undefined) {
-      return "nothing: no target is at hand";
+      return "skipped: no target is available";
     }
     switch (fault) {
       case "target-killed":
         await processes.killTarget(target);
-        await sleep(this.#draw(RESTARTS_MS));
-        // Another process at the address: every message names the one before.
+        await sleep(this.#drawValue(RESTART_DELAYS_MS));
+        // The new process at the address gets messages that name the old process.
         await processes.startTarget(target);
         break;
       case "target-paused":
         target.child.send("SIGSTOP");
-        await sleep(this.#draw(PAUSES_MS));
+        await sleep(this.#drawValue(PAUSES_MS));
         target.child.send("SIGCONT");
         break;
       case "target-leaving":
@@ -179,7 +180,7 @@
           dataCentre: target.dataCentre,
         });
         await processes.drainTarget(target);
-        leaving.push({ target: target.id, atMs: readMonotonicMs() });
+        leavingTargets.push({ target: target.id, atMs: readMonotonicMs() });
         await sleep(LEAVING_MS);
         await processes.stopTarget(target);
         break;
@@ -188,41 +189,41 @@
     return target.id;
   }
 
-  async #setLimit(): Promise<string> {
-    const { processes, rateLimits: limits } = this.#trial;
+  async #setRateLimit(): Promise<string> {
+    const { processes, rateLimits } = this.#trial;
     const target = this.#takeTarget();
     if (target === undefined) {
-      return "nothing: no target is at hand";
+      return "skipped: no target is available";
     }
-    const perSecond = this.#draw(LIMITS_PER_SECOND);
+    const perSecond = this.#drawValue(LIMITS_PER_SECOND);
     const fromMs = readMonotonicMs();
     await processes.setTargetLimit(target, perSecond);
     const sent: Promise<void>[] = [];
-    while (readMonotonicMs() < fromMs + LIMITED_MS) {
+    while (readMonotonicMs() < fromMs + RATE_LIMIT_DURATION_MS) {
       sent.push(this.#trial.traffic.sendExtraRequest(target.group.template));
-      await sleep(EXTRA_EVERY_MS);
+      await sleep(EXTRA_REQUEST_INTERVAL_MS);
     }
     const toMs = readMonotonicMs();
     await Promise.all(sent);
-    limits.push({ target: target.id, perSecond, fromMs, toMs });
+    rateLimits.push({ target: target.id, perSecond, fromMs, toMs });
     if (!target.child.hasEnded) {
       await processes.setTargetLimit(target, null);
     }
     this.#inUse.delete(target.id);
     await Promise.all(this.#restartCrashed());
-    return `${target.id} takes ${perSecond} a second`;
+    return `${target.id} limited to ${perSecond} requests per second`;
   }
 
-  async #sendFatal(): Promise<string> {
+  async #sendFatalRequests(): Promise<string> {
     if (this.#inUse.has("fatal")) {
-      return "nothing: another such request is on its way";
+      return "skipped: another fatal request is active";
     }
     this.#inUse.add("fatal");
-    const name = String(++this.#fatalRequests);
+    const name = String(++this.#fatalRequestCount);
     const restarts: Promise<void>[] = [];
-    for (let nth = 0; nth < FATAL_REPEATS; nth++) {
+    for (let count = 0; count < FATAL_REPEATS; count++) {
       await this.#trial.traffic.sendFatalRequest(name);
-      await sleep(FATAL_PAUSE_MS);
+      await sleep(FATAL_INTERVAL_MS);
       restarts.push(...this.#restartCrashed());
     }
     await Promise.all(restarts);
@@ -236,61 +237,61 @@
       .filter(({ id, child }) => child.hasEnded && !this.#inUse.has(id));
     return crashed.map(async (target) => {
       processes.recordTargetExit(target);
-      await sleep(this.#draw(RESTARTS_MS));
+      await sleep(this.#drawValue(RESTART_DELAYS_MS));
       await processes.startTarget(target);
     });
   }
 
-  async #failStore(mood: StoreFaultMode): Promise<string> {
+  async #failStore(faultMode: StoreFaultMode): Promise<string> {
     if (this.#inUse.has("store")) {
-      return "nothing: the store fails already";
+      return "skipped: the store already fails";
     }
     this.#inUse.add("store");
     const { processes } = this.#trial;
     const fromMs = readMonotonicMs();
-    await processes.setStoreFaultMode(mood);
-    const lengthMs = this.#draw(OUTAGES_MS);
-    await sleep(lengthMs);
+    await processes.setStoreFaultMode(faultMode);
+    const durationMs = this.#drawValue(OUTAGES_MS);
+    await sleep(durationMs);
     await processes.setStoreFaultMode("serving");
-    this.#recordDisturbance(fromMs);
+    this.#recordStoreOutage(fromMs);
     this.#inUse.delete("store");
-    return `${lengthMs} ms`;
+    return `${durationMs} ms`;
   }
 
   async #failLink(
-    to: "instance" | "target",
-    mood: LinkFaultMode,
+    kind: "instance" | "target",
+    faultMode: LinkFaultMode,
   ): Promise<string> {
     const { processes } = this.#trial;
-    const names = to === "instance"
+    const names = kind === "instance"
       ? processes.instances.map(({ name }) => name)
       : processes.targets.map(({ id }) => id);
     const name = names[this.#random.drawIndex(names.length)];
     const link = name === undefined ? undefined : processes.links.get(name);
     if (name === undefined || link === undefined) {
-      return "nothing: no link is at hand";
+      return "skipped: no link is available";
     }
     const fromMs = readMonotonicMs();
-    link.setFaultMode(mood);
-    await sleep(this.#draw(OUTAGES_MS));
+    link.setFaultMode(faultMode);
+    await sleep(this.#drawValue(OUTAGES_MS));
     link.setFaultMode("passing");
-    if (to === "instance") {
-      this.#recordDisturbance(fromMs);
+    if (kind === "instance") {
+      this.#recordStoreOutage(fromMs);
     }
     return name;
   }
 
-  #recordDisturbance(fromMs: number): void {
+  #recordStoreOutage(fromMs: number): void {
     this.#trial.storeOutages.push({ fromMs, toMs: readMonotonicMs() });
   }
 
   #takeTarget(): TargetProcess | undefined {
     const running = this.#trial.processes.targets
       .filter(({ child }) => !child.hasEnded);
-    return this.#take(running, ({ id }) => id);
+    return this.#takeUnused(running, ({ id }) => id);
   }
 
-  #take<Item extends InstanceProcess | TargetProcess>(
+  #takeUnused<Item extends InstanceProcess | TargetProcess>(
     items: readonly Item[],
     getName: (item: Item) => string,
   ): Item | undefined {
@@ -302,7 +303,7 @@
     return chosen;
   }
 
-  #draw(values: readonly number[]): number {
+  #drawValue(values: readonly number[]): number {
     return values[this.#random.drawIndex(values.length)]!;
   }
 }
--- a/packages/trials/src/standins/standin_cli.ts
+++ b/packages/trials/src/standins/standin_cli.ts
@@ -1,7 +1,7 @@
 /**
  * Starts one stand-in of the platform as a process:
- * `node packages/trials/dist/standins/standin_cli.js store --port 7000`. The first line that
- * it prints is JSON and says where it listens.
+ * `node packages/trials/dist/standins/standin_cli.js store --port 7000`. The
+ * first line that it prints is a JSON object with the address it listens on.
  */
 import { appendFileSync } from "node:fs";
 import { once } from "node:events";
@@ -24,7 +24,7 @@
   subcommands,
 } from "cmd-ts";
 
-/** All processes of a machine share it, so their runs can be compared. */
+/** Reads the machine's monotonic clock, so that times of all processes compare. */
 class MachineClock extends SystemClock {
   override readMs(): number {
     return Number(process.hrtime.bigint()) / 1e6;
@@ -42,7 +42,7 @@
 
 const storeCommand = command({
   name: "store",
-  description: "The platform's store, in memory",
+  description: "In-memory stand-in of the platform's store",
   args: { port },
   handler: async ({ port }) => {
     const server = new StoreServer(clock);
@@ -54,11 +54,19 @@
 
 const targetCommand = command({
   name: "target",
-  description: "A target that owns keys and says in the store how it is",
+  description: "Stand-in of a target that owns keys and registers in the store",
   args: {
     port,
-    id: option({ long: "id", type: string, description: "Id of this start" }),
-    service: option({ long: "service", type: string, description: "Service" }),
+    id: option({
+      long: "id",
+      type: string,
+      description: "Id of the target, unique to this process",
+    }),
+    service: option({
+      long: "service",
+      type: string,
+      description: "Service",
+    }),
     dataCentre: option({
       long: "data-centre",
       type: string,
@@ -67,21 +75,21 @@
     store: option({
       long: "store",
       type: string,
-      description: "The store, host:port",
+      description: "Address of the store, host:port",
     }),
     workMs: option({
       long: "work-ms",
       type: number,
-      description: "How long a request runs",
+      description: "Time that a request runs, in milliseconds",
     }),
     historyFile: option({
       long: "history-file",
       type: optional(string),
-      description: "Runs are written here, one JSON object a line",
+      description: "File that runs are appended to, one JSON object per line",
     }),
     unkeyed: flag({
       long: "unkeyed",
-      description: "Run any request, whatever its key",
+      description: "Run requests for any key",
     }),
   },
   handler: async ({ port, store, historyFile, unkeyed, ...options }) => {
@@ -91,7 +99,7 @@
       clock,
       keyed: !unkeyed,
       isFatal: ({ path }) => path?.includes(FATAL_PARAMETER) === true,
-      // As a process that crashes: nothing is said, and the entry stays.
+      // Like a crashed process, reports nothing and leaves its entry in the store.
       observeCrash: () => process.exit(CRASHED),
       writeEntry: (key, value) =>
         void client.append({ partition: TARGETS_PARTITION, key, value }),
@@ -105,7 +113,7 @@
     printListening(target.address);
     await waitForStop();
     target.kill();
-    // For the append that takes its entry away.
+    // Gives the append that removes the target's entry time to finish.
     await clock.sleep(LAST_APPEND_MS);
     client.close();
   },
--- a/packages/trials/src/start/balancer.ts
+++ b/packages/trials/src/start/balancer.ts
@@ -1,21 +1,21 @@
-/** What the platform's balancer does: it offers only instances that are ready. */
+/** Simulates the platform's balancer, which offers only instances that are ready. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
 import type { InstanceProcess } from "./deployment_processes.ts";
 
-const LOOK_EVERY_MS = 200;
-const TIMEOUT_MS = 500;
+const POLL_INTERVAL_MS = 200;
+const POLL_TIMEOUT_MS = 500;
 
 export class Balancer {
   readonly #ready = new Set<string>();
   readonly #watched = new Set<string>();
 
-  /** Instances that callers are sent to now, as `host:port`. */
+  /** Lists the `host:port` of every instance that is ready. */
   listReadyAddresses(): readonly string[] {
     return [...this.#ready];
   }
 
-  /** Looks at the instances until `signal` aborts, at each on its own. */
+  /** Polls each instance independently until `signal` aborts. */
   async run(
     listInstances: () => readonly InstanceProcess[],
     signal: AbortSignal,
@@ -24,14 +24,14 @@
       for (const instance of listInstances()) {
         if (!this.#watched.has(instance.address)) {
           this.#watched.add(instance.address);
-          void this.#watchOne(instance, signal);
+          void this.#watchInstance(instance, signal);
         }
       }
-      await sleep(LOOK_EVERY_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
   }
 
-  async #watchOne(
+  async #watchInstance(
     { address, statusAddress, child }: InstanceProcess,
     signal: AbortSignal,
   ): Promise<void> {
@@ -41,7 +41,7 @@
       } else {
         this.#ready.delete(address);
       }
-      await sleep(LOOK_EVERY_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
     this.#ready.delete(address);
     this.#watched.delete(address);
@@ -50,11 +50,11 @@
 
 async function isReady(address: string): Promise<boolean> {
   try {
-    const answer = await request(`http://${address}/`, {
-      signal: AbortSignal.timeout(TIMEOUT_MS),
+    const response = await request(`http://${address}/`, {
+      signal: AbortSignal.timeout(POLL_TIMEOUT_MS),
     });
-    await answer.body.dump();
-    return answer.statusCode === 200;
+    await response.body.dump();
+    return response.statusCode === 200;
   } catch {
     return false;
   }
--- a/packages/trials/src/start/child.ts
+++ b/packages/trials/src/start/child.ts
@@ -1,4 +1,4 @@
-/** Child processes of a trial, each ended by its own id. */
+/** Starts the child processes of a trial, and ends each by its own process id. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { createWriteStream } from "node:fs";
 import process from "node:process";
@@ -7,15 +7,15 @@
   readonly name: string;
   /** A JavaScript file and its arguments. */
   readonly args: readonly string[];
-  /** Its output is kept here. */
+  /** File that standard output and standard error are appended to. */
   readonly logFile: string;
 }
 
-/** Children that have not ended, to be ended with this process. */
-const living = new Set<ChildProcess>();
+/** Running child processes, which are killed when this process exits. */
+const runningProcesses = new Set<ChildProcess>();
 
 process.on("exit", () => {
-  for (const child of living) {
+  for (const child of runningProcesses) {
     child.kill("SIGKILL");
   }
 });
@@ -23,7 +23,7 @@
 export class Child {
   readonly name: string;
   readonly logFile: string;
-  /** Resolves with the exit code, or null after a signal. */
+  /** Resolves with the exit code, or with null if a signal ended the process. */
   readonly ended: Promise<number | null>;
   readonly #process: ChildProcess;
   readonly #output: string[] = [];
@@ -36,7 +36,7 @@
       stdio: ["ignore", "pipe", "pipe"],
     });
     this.#process = child;
-    living.add(child);
+    runningProcesses.add(child);
     const log = createWriteStream(options.logFile, { flags: "a" });
     child.stdout.pipe(log, { end: false });
     child.stderr.pipe(log, { end: false });
@@ -44,7 +44,7 @@
     child.stderr.on("data", (bytes) => this.#addText(bytes));
     this.ended = new Promise((resolve) => {
       child.on("exit", (code) => {
-        living.delete(child);
+        runningProcesses.delete(child);
         this.#resumeWaiters();
         resolve(code);
       });
@@ -55,7 +55,7 @@
     return this.#process.pid;
   }
 
-  /** Null while it runs, and after a signal. */
+  /** Null while the process runs, and if a signal ended it. */
   get exitCode(): number | null {
     return this.#process.exitCode;
   }
@@ -64,20 +64,22 @@
     return this.#process.exitCode !== null || this.#process.signalCode !== null;
   }
 
-  /** Waits until its output matches; gives the first captured part. */
+  /** Waits until the output matches `pattern`; returns the first captured group. */
   async waitForOutput(pattern: RegExp, timeoutMs: number): Promise<string> {
-    const endsAt = Date.now() + timeoutMs;
+    const deadlineMs = Date.now() + timeoutMs;
     for (;;) {
       const match = pattern.exec(this.#output.join(""));
       if (match !== null) {
         return match[1] ?? "";
       }
-      const leftMs = endsAt - Date.now();
-      if (this.hasEnded || leftMs <= 0) {
-        const seen = this.#output.join("").slice(-500);
-        throw new Error(`"${this.name}" did not start: ${seen}`);
+      const remainingMs = deadlineMs - Date.now();
+      if (this.hasEnded || remainingMs <= 0) {
+        const output = this.#output.join("").slice(-500);
+        throw new Error(
+          `"${this.name}" ended or timed out before it printed ${pattern}: ${output}`,
+        );
       }
-      await this.#waitForChange(leftMs);
+      await this.#waitForChange(remainingMs);
     }
   }
 
@@ -85,18 +87,18 @@
     this.#process.kill(signal);
   }
 
-  /** Asks it to stop, and ends it if it has not within `patienceMs`. */
-  async stop(patienceMs: number): Promise<number | null> {
+  /** Sends SIGTERM, then SIGKILL if the process still runs after `timeoutMs`. */
+  async stop(timeoutMs: number): Promise<number | null> {
     this.send("SIGTERM");
-    const timer = setTimeout(() => this.send("SIGKILL"), patienceMs);
+    const timer = setTimeout(() => this.send("SIGKILL"), timeoutMs);
     const code = await this.ended;
     clearTimeout(timer);
     return code;
   }
 
-  /** Only the head of the output is kept; the file has all of it. */
+  /** Keeps only the start of the output in memory; the log file has all of it. */
   #addText(bytes: Uint8Array): void {
-    if (this.#output.length < MAX_SEEN_CHUNKS) {
+    if (this.#output.length < MAX_OUTPUT_CHUNKS) {
       this.#output.push(bytes.toString());
       this.#resumeWaiters();
     }
@@ -119,4 +121,4 @@
   }
 }
 
-const MAX_SEEN_CHUNKS = 50;
+const MAX_OUTPUT_CHUNKS = 50;
--- a/packages/trials/src/start/deployment_processes.ts
+++ b/packages/trials/src/start/deployment_processes.ts
@@ -1,4 +1,4 @@
-/** The processes of one deployment: platform, targets and instances. */
+/** Starts and stops the processes of one deployment: store, targets and instances. */
 import { mkdirSync } from "node:fs";
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -10,10 +10,10 @@
 import { Child } from "./child.ts";
 
 /** Files built by `npm run build`, relative to the repository's root. */
-const STANDIN_FILE = "packages/trials/dist/standins/standin_cli.js";
-const COMMAND_FILE = "packages/cli/bin/lentilspur.js";
+const STANDIN_CLI_FILE = "packages/trials/dist/standins/standin_cli.js";
+const LENTILSPUR_CLI_FILE = "packages/cli/bin/lentilspur.js";
 const START_TIMEOUT_MS = 20_000;
-const STOP_PATIENCE_MS = 15_000;
+const STOP_TIMEOUT_MS = 15_000;
 
 export interface TargetProcess {
   readonly id: string;
@@ -28,11 +28,11 @@
   readonly address: string;
   readonly statusAddress: string;
   readonly child: Child;
-  /** Its lines, for the audit. */
+  /** The instance's log lines, which the audit reads. */
   readonly logFile: string;
 }
 
-/** When a target's process was killed, in the machine's time. */
+/** When a target's process ended unexpectedly, on the machine's monotonic clock. */
 export interface TargetExit {
   readonly target: string;
   readonly atMs: number;
@@ -40,9 +40,9 @@
 
 export interface DeploymentProcessesOptions {
   readonly deployment: Deployment;
-  /** Logs and histories go here. */
+  /** Directory for logs and histories. */
   readonly directory: string;
-  /** Whether each instance reaches the store, and each target is reached, by a link that can fail. */
+  /** Whether instances reach the store, and targets are reached, through faulty links. */
   readonly hasFaultyLinks: boolean;
 }
 
@@ -50,13 +50,13 @@
   readonly targets: TargetProcess[] = [];
   readonly instances: InstanceProcess[] = [];
   readonly targetExits: TargetExit[] = [];
-  /** By the name of the instance or target at one end. */
+  /** Links by the name of the instance or target at one end. */
   readonly links = new Map<string, FaultyLink>();
   readonly #options: DeploymentProcessesOptions;
-  readonly #platform: Child[] = [];
+  readonly #storeProcesses: Child[] = [];
   #storeAddress = "";
-  #startedInstances = 0;
-  #startedTargets = 0;
+  #startedInstanceCount = 0;
+  #startedTargetCount = 0;
 
   constructor(options: DeploymentProcessesOptions) {
     this.#options = options;
@@ -67,7 +67,7 @@
     return this.#storeAddress;
   }
 
-  /** Files with the lines of all instances that were ever started. */
+  /** Log files of all instances that were ever started. */
   readonly instanceLogFiles: string[] = [];
 
   get historyFile(): string {
@@ -75,8 +75,8 @@
   }
 
   async startStore(): Promise<void> {
-    const child = this.#createChild("store", [STANDIN_FILE, "store"]);
-    this.#platform.push(child);
+    const child = this.#createChild("store", [STANDIN_CLI_FILE, "store"]);
+    this.#storeProcesses.push(child);
     this.#storeAddress = await waitForListening(child);
   }
 
@@ -91,17 +91,17 @@
     await Promise.all(starting);
   }
 
-  /** Starts a target; each start has an id of its own, also at an old address. */
+  /** Starts a target under a new id, also when it reuses an address. */
   async startTarget(
-    wanted: Pick<TargetProcess, "group" | "dataCentre"> & {
+    options: Pick<TargetProcess, "group" | "dataCentre"> & {
       readonly address?: string;
     },
   ): Promise<void> {
-    const { group, dataCentre, address: known } = wanted;
-    const id = `${group.template}-${++this.#startedTargets}`;
-    const port = known?.split(":")[1] ?? "0";
+    const { group, dataCentre, address: fixedAddress } = options;
+    const id = `${group.template}-${++this.#startedTargetCount}`;
+    const port = fixedAddress?.split(":")[1] ?? "0";
     const child = this.#createChild(id, [
-      STANDIN_FILE,
+      STANDIN_CLI_FILE,
       "target",
       ...["--id", id, "--port", port, "--service", group.template],
       ...["--data-centre", dataCentre, "--work-ms", String(group.workMs)],
@@ -123,14 +123,14 @@
     );
   }
 
-  /** Under the name of an instance that has ended, or under a new one. */
+  /** Starts an instance under a new name, or under that of an ended instance. */
   async startInstance(
-    name = `instance-${++this.#startedInstances}`,
+    name = `instance-${++this.#startedInstanceCount}`,
   ): Promise<InstanceProcess> {
     const { dataCentres } = this.#options.deployment;
     const index = Number(name.split("-")[1]) - 1;
     const child = this.#createChild(name, [
-      COMMAND_FILE,
+      LENTILSPUR_CLI_FILE,
       "serve",
       ...["--instance-name", name],
       ...["--data-centre", dataCentres[index % dataCentres.length]!],
@@ -155,22 +155,22 @@
     return instance;
   }
 
-  /** Runs one `lentilspur` command to its exit code. */
-  async runCommand(words: readonly string[]): Promise<number | null> {
+  /** Runs one `lentilspur` command and returns its exit code. */
+  async runCommand(args: readonly string[]): Promise<number | null> {
     const child = this.#createChild("command", [
-      COMMAND_FILE,
-      ...words,
+      LENTILSPUR_CLI_FILE,
+      ...args,
       ...["--store", this.#storeAddress],
     ]);
     return await child.ended;
   }
 
-  /** The target says in the store that it leaves, and serves on. */
+  /** Makes the target announce in the store that it leaves; the target keeps serving. */
   async drainTarget({ address }: TargetProcess): Promise<void> {
     await sendJson(`http://${address}/standin/drain`, {});
   }
 
-  /** The target names a limit of requests a second in its answers, or none. */
+  /** Sets the limit in requests per second that the target reports; null for none. */
   async setTargetLimit(
     { address }: TargetProcess,
     perSecond: number | null,
@@ -178,54 +178,56 @@
     await sendJson(`http://${address}/standin/limit`, { perSecond });
   }
 
-  /** How the store treats calls from now on. */
-  async setStoreFaultMode(mood: StoreFaultMode): Promise<void> {
-    await sendJson(`http://${this.#storeAddress}/standin/mood`, { mood });
+  /** Sets how the store handles calls from now on. */
+  async setStoreFaultMode(faultMode: StoreFaultMode): Promise<void> {
+    await sendJson(`http://${this.#storeAddress}/standin/mood`, {
+      mood: faultMode,
+    });
   }
 
-  /** Ends a target's process without warning. */
+  /** Kills a target's process with SIGKILL, so that it cannot stop gracefully. */
   async killTarget(target: TargetProcess): Promise<void> {
     target.child.send("SIGKILL");
     await target.child.ended;
     this.recordTargetExit(target);
   }
 
-  /** A target's process has ended by itself. */
+  /** Records that a target's process ended, and removes the target. */
   recordTargetExit(target: TargetProcess): void {
     this.targetExits.push({ target: target.id, atMs: readMonotonicMs() });
     this.targets.splice(this.targets.indexOf(target), 1);
   }
 
-  /** Ends an instance's process without warning. */
+  /** Kills an instance's process with SIGKILL, so that it cannot stop gracefully. */
   async killInstance(instance: InstanceProcess): Promise<void> {
     this.instances.splice(this.instances.indexOf(instance), 1);
     instance.child.send("SIGKILL");
     await instance.child.ended;
   }
 
-  /** A planned stop; gives the exit code. */
+  /** Stops an instance gracefully and returns its exit code. */
   async stopInstance(instance: InstanceProcess): Promise<number | null> {
-    const code = await instance.child.stop(STOP_PATIENCE_MS);
+    const code = await instance.child.stop(STOP_TIMEOUT_MS);
     this.instances.splice(this.instances.indexOf(instance), 1);
     return code;
   }
 
   async stopTarget(target: TargetProcess): Promise<void> {
-    await target.child.stop(STOP_PATIENCE_MS);
+    await target.child.stop(STOP_TIMEOUT_MS);
     this.targets.splice(this.targets.indexOf(target), 1);
   }
 
-  /** Ends everything, instances first. */
+  /** Stops all processes: instances, then targets, then the store. */
   async stopAll(): Promise<void> {
     const instances = this.instances.map(({ child }) => child);
     const targets = this.targets.map(({ child }) => child);
-    for (const group of [instances, targets, this.#platform]) {
+    for (const group of [instances, targets, this.#storeProcesses]) {
       await Promise.all(group.map((child) => stopChild(child)));
     }
     this.links.forEach((link) => link.close());
   }
 
-  /** The address by which a process is reached; a link's, where there are any. */
+  /** Returns the address of a new link to `address`, or `address` without links. */
   async #openLink(name: string, address: string): Promise<string> {
     if (!this.#options.hasFaultyLinks) {
       return address;
@@ -235,34 +237,34 @@
     return await link.open();
   }
 
-  #createChild(name: string, words: readonly string[]): Child {
+  #createChild(name: string, args: readonly string[]): Child {
     const logFile = join(this.#options.directory, `${name}.log`);
-    return new Child({ name, args: words, logFile });
+    return new Child({ name, args, logFile });
   }
 }
 
-/** Resolves once `check` holds; false if it does not within `timeoutMs`. */
+/** Waits until `check` returns true; returns false if it does not within `timeoutMs`. */
 export async function waitUntil(
   check: () => Promise<boolean>,
   timeoutMs: number,
 ): Promise<boolean> {
-  const endsAt = readMonotonicMs() + timeoutMs;
-  while (readMonotonicMs() < endsAt) {
+  const deadlineMs = readMonotonicMs() + timeoutMs;
+  while (readMonotonicMs() < deadlineMs) {
     if (await check()) {
       return true;
     }
-    await sleep(CHECK_EVERY_MS);
+    await sleep(CHECK_INTERVAL_MS);
   }
   return false;
 }
 
-const CHECK_EVERY_MS = 100;
-/** A frozen child takes no SIGTERM until it goes on. */
-const END_PATIENCE_MS = 3_000;
+const CHECK_INTERVAL_MS = 100;
+const FORCED_STOP_TIMEOUT_MS = 3_000;
 
 async function stopChild(child: Child): Promise<void> {
+  // A paused process handles SIGTERM only once it is resumed.
   child.send("SIGCONT");
-  await child.stop(END_PATIENCE_MS);
+  await child.stop(FORCED_STOP_TIMEOUT_MS);
 }
 
 function waitForListening(child: Child): Promise<string> {
@@ -270,12 +272,14 @@
 }
 
 async function sendJson(url: string, body: unknown): Promise<void> {
-  const answer = await request(url, {
+  const response = await request(url, {
     method: "POST",
     body: JSON.stringify(body),
   });
-  await answer.body.dump();
-  if (answer.statusCode !== 200) {
-    throw new Error(`"${url}" answered with status ${answer.statusCode}`);
+  await response.body.dump();
+  if (response.statusCode !== 200) {
+    throw new Error(
+      `POST ${url} returned status ${response.statusCode}, not 200`,
+    );
   }
 }
--- a/packages/trials/src/start/start_cli.ts
+++ b/packages/trials/src/start/start_cli.ts
@@ -1,6 +1,6 @@
 /**
- * `npm start`: the main job on stand-ins, on loopback. With `--once` it plays
- * both deployments with failures, prints a report and ends.
+ * `npm start`: runs lentilspur with stand-ins of the platform on loopback. With
+ * `--once`, runs both deployments with failures, prints a report and exits.
  */
 import { mkdtempSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -25,12 +25,13 @@
   args: {
     once: flag({
       long: "once",
-      description: "Play both deployments, report, and end",
+      description:
+        "Run both deployments with failures, print a report, and exit",
     }),
     only: option({
       long: "only",
       type: optional(oneOf(["abay", "sautiba"])),
-      description: "With --once, play this one only",
+      description: "With --once, run only this deployment",
     }),
   },
   handler: ({ once, only }) => once ? runAll(only) : runInteractive(),
@@ -38,17 +39,19 @@
 
 async function runAll(only: string | undefined): Promise<void> {
   const reports = [];
-  const wanted = [ABAY, SAUTIBA].filter(({ name }) => name === (only ?? name));
-  for (const deployment of wanted) {
-    reports.push(await runAndTidy(deployment));
+  const deployments = [ABAY, SAUTIBA].filter(({ name }) =>
+    name === (only ?? name)
+  );
+  for (const deployment of deployments) {
+    reports.push(await runDeployment(deployment));
   }
   print(renderSummary(reports));
   process.exitCode = hasPassed(reports) ? 0 : 1;
 }
 
-/** Logs and histories are kept only where they are needed to find a fault. */
-async function runAndTidy(deployment: Deployment): Promise<TrialReport> {
-  const options = makeOptions(deployment);
+/** Runs one deployment; keeps its logs and histories only if the trial failed. */
+async function runDeployment(deployment: Deployment): Promise<TrialReport> {
+  const options = makeTrialOptions(deployment);
   const report = await runTrial(options);
   print(renderReport(report));
   if (hasPassed([report])) {
@@ -61,7 +64,7 @@
 
 /** Runs until SIGINT or SIGTERM. */
 async function runInteractive(): Promise<void> {
-  const options = makeOptions(ABAY);
+  const options = makeTrialOptions(ABAY);
   const trial = new Trial(options);
   const stopped = new Promise<void>((resolve) => {
     process.once("SIGINT", resolve);
@@ -69,20 +72,20 @@
   });
   try {
     await trial.start();
-    const [entry] = trial.balancer.listReadyAddresses();
+    const [address] = trial.balancer.listReadyAddresses();
     const [account] = ABAY.accounts;
-    print(`Some callers send already. Send a request yourself:
+    print(`Simulated callers are already sending. Send a request yourself:
 
   curl -i -H 'authorization: Bearer ${account!.credential}' \\
-    http://${entry}/case-files/case-9
+    http://${address}/case-files/case-9
 
-Change playground/abay, then publish it and see it in force:
+Change playground/abay, publish it, and see it in force:
 
   node packages/cli/bin/lentilspur.js publish playground/abay \\
     --expect-version 1 --operator me --store ${trial.processes.storeAddress}
   node packages/cli/bin/lentilspur.js status --store ${trial.processes.storeAddress}
 
-Kill an instance with kill -9 and one of these process ids; callers go on:
+Kill an instance with kill -9 and one of these process ids; callers are still served:
 
 ${
       trial.processes.instances
@@ -99,7 +102,7 @@
   }
 }
 
-function makeOptions(deployment: Deployment): TrialOptions {
+function makeTrialOptions(deployment: Deployment): TrialOptions {
   const prefix = join(tmpdir(), `lentilspur-${deployment.name}-`);
   return {
     deployment,
--- a/packages/trials/src/start/trial.ts
+++ b/packages/trials/src/start/trial.ts
@@ -1,6 +1,6 @@
 /**
- * One deployment in small, from a cold start: traffic with a hot key, a target
- * that leaves, an instance that is killed and replaced, a planned stop.
+ * Runs a small deployment from a cold start: traffic with a hot key, a target
+ * that leaves, an instance that is killed and replaced, and a planned stop.
  */
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -26,19 +26,19 @@
   readonly directory: string;
   readonly print: (line: string) => void;
   readonly random: Random;
-  /** Whether faults can be put between the processes. */
+  /** Whether the processes connect through proxies that can inject faults. */
   readonly hasFaultyLinks?: boolean;
 }
 
-/** Everything must be served this soon after a cold start. */
-const START_LIMIT_MS = 20_000;
-/** An accepted configuration is in force everywhere within this time. */
-const IN_FORCE_LIMIT = "5s";
-const STEADY_MS = 3_000;
+/** Every key must be served within this time after a cold start. */
+const START_TIMEOUT_MS = 20_000;
+/** A published configuration must be in force on all instances within this time. */
+const IN_FORCE_TIMEOUT = "5s";
+const STEADY_TRAFFIC_MS = 3_000;
 const LEAVING_MS = 6_000;
-const LOSS_MS = 7_000;
-/** For answers on their way to reach the callers' records. */
-const SETTLE_MS = 500;
+const REPLACEMENT_MS = 7_000;
+/** Time for responses in flight to reach the callers' records. */
+const RESPONSE_DELAY_MS = 500;
 
 /** One running deployment with its callers. */
 export class Trial {
@@ -46,21 +46,20 @@
   readonly balancer = new Balancer();
   readonly traffic: TrafficGenerator;
   readonly leavingTargets: LeavingTarget[] = [];
-  /** Times in which the store, or the way to it, was made to fail. */
+  /** Periods in which the store, or a link to it, was made to fail. */
   readonly storeOutages: StoreOutage[] = [];
   readonly rateLimits: RateLimitPeriod[] = [];
   readonly failedChecks: string[] = [];
   readonly #options: TrialOptions;
-  readonly #end = new AbortController();
+  readonly #stopController = new AbortController();
 
   constructor(options: TrialOptions) {
     this.#options = options;
-    const { deployment, directory, random, hasFaultyLinks: hasLinks = false } =
-      options;
+    const { deployment, directory, random, hasFaultyLinks = false } = options;
     this.processes = new DeploymentProcesses({
       deployment,
       directory,
-      hasFaultyLinks: hasLinks,
+      hasFaultyLinks,
     });
     this.traffic = new TrafficGenerator({
       deployment,
@@ -69,31 +68,34 @@
     });
   }
 
-  /** Starts all processes, publishes, and waits until every key is served. */
+  /** Starts all processes, publishes a configuration, and waits until every key is served. */
   async start(): Promise<void> {
     const { deployment, print } = this.#options;
-    const startedAt = readMonotonicMs();
+    const startedAtMs = readMonotonicMs();
     await this.processes.startStore();
     await Promise.all([
       this.processes.startTargets(),
       this.processes.startInstances(),
     ]);
-    void this.balancer.run(() => this.processes.instances, this.#end.signal);
+    void this.balancer.run(
+      () => this.processes.instances,
+      this.#stopController.signal,
+    );
     await this.#publish();
     const isServed = await waitUntil(
       () => this.traffic.checkAllKeysServed(),
-      START_LIMIT_MS,
+      START_TIMEOUT_MS,
     );
     if (!isServed) {
       this.failedChecks.push("not every key was served after the start");
     }
     this.traffic.records.length = 0;
-    const tookMs = Math.round(readMonotonicMs() - startedAt);
+    const tookMs = Math.round(readMonotonicMs() - startedAtMs);
     print(`${deployment.name}: every key is served after ${tookMs} ms`);
     this.traffic.start();
   }
 
-  /** Stops the callers, reports, and ends all processes. */
+  /** Stops the callers, builds the report, and stops all processes. */
   async stopAndReport(): Promise<TrialReport> {
     await this.traffic.stop();
     await this.#checkVersions();
@@ -114,11 +116,11 @@
   }
 
   async close(): Promise<void> {
-    this.#end.abort();
+    this.#stopController.abort();
     await this.processes.stopAll();
   }
 
-  /** A target says that it leaves; later its process stops. */
+  /** Announces that a target leaves, and stops its process `LEAVING_MS` later. */
   async removeTarget(): Promise<void> {
     const target = this.processes.targets[0]!;
     this.#options.print(`  target ${target.id} leaves`);
@@ -133,51 +135,57 @@
     this.#options.print(`  ${instance.name} is killed and replaced`);
     await this.processes.killInstance(instance);
     await this.processes.startInstance(instance.name);
-    await sleep(LOSS_MS);
+    await sleep(REPLACEMENT_MS);
   }
 
   async stopInstance(): Promise<void> {
     const instance = this.processes.instances[0]!;
     this.#options.print(`  ${instance.name} stops as planned`);
-    await this.checkPlannedStop(instance, (record) => !isServedOrTold(record));
-    await sleep(STEADY_MS);
+    await this.checkPlannedStop(
+      instance,
+      (record) => !isServedOrOverLimit(record),
+    );
+    await sleep(STEADY_TRAFFIC_MS);
   }
 
   /**
-   * A planned stop fails no request, through whichever instance it came. Where
-   * other things go wrong meanwhile, only those cut off are held against it.
+   * Stops an instance as planned, and reports each attempt during the stop that
+   * `isFailed` matches, through whichever instance it came. Where other faults
+   * are active, `isFailed` must match only attempts that the stop cut off.
    */
   async checkPlannedStop(
     instance: InstanceProcess,
     isFailed: (record: CallerRecord) => boolean,
   ): Promise<void> {
-    const since = readMonotonicMs();
+    const stoppedAtMs = readMonotonicMs();
     const code = await this.processes.stopInstance(instance);
     if (code !== 0) {
-      this.failedChecks.push(`${instance.name} ended with "${code}"`);
+      this.failedChecks.push(
+        `${instance.name} exited with code "${code}" after a planned stop, not 0`,
+      );
     }
-    await sleep(SETTLE_MS);
+    await sleep(RESPONSE_DELAY_MS);
     const failed = this.traffic.records.filter((record) =>
-      record.receivedAtMs >= since && isFailed(record)
+      record.receivedAtMs >= stoppedAtMs && isFailed(record)
     );
     for (const { requestId, entry, outcome, errorKind } of failed) {
       this.failedChecks.push(
         `"${requestId ?? "no id"}" through ${entry} ended as ${outcome} ` +
-          `(${errorKind ?? "cut off"}) in the stop of ${instance.name}`,
+          `(${errorKind ?? "cut off"}) during the stop of ${instance.name}`,
       );
     }
   }
 
-  /** Once nothing is broken any more, every key is served again. */
-  async checkRecovery(limitMs: number): Promise<void> {
-    if (!await waitUntil(() => this.traffic.checkAllKeysServed(), limitMs)) {
+  /** Checks that every key is served within `timeoutMs` after the last fault. */
+  async checkRecovery(timeoutMs: number): Promise<void> {
+    if (!await waitUntil(() => this.traffic.checkAllKeysServed(), timeoutMs)) {
       this.failedChecks.push(
         "not every key was served again after the last fault",
       );
     }
   }
 
-  /** Beside the logs, for finding out how a fault came about. */
+  /** Writes the callers' records next to the logs, to help find causes of failures. */
   #writeRecords(): void {
     const file = join(this.#options.directory, "callers.jsonl");
     const lines = this.traffic.records.map((each) => JSON.stringify(each));
@@ -189,32 +197,34 @@
       "publish",
       `playground/${this.#options.deployment.name}`,
       ...["--expect-version", "0", "--operator", "playground"],
-      ...["--wait-in-force", IN_FORCE_LIMIT],
+      ...["--wait-in-force", IN_FORCE_TIMEOUT],
     ]);
     if (code !== 0) {
-      this.failedChecks.push(`publishing ended with "${code}"`);
+      this.failedChecks.push(
+        `publishing the configuration exited with code "${code}", not 0`,
+      );
     }
   }
 
-  /** What was accepted is in force on every instance at the end. */
+  /** Checks that every instance ends with the published configuration in force. */
   async #checkVersions(): Promise<void> {
     for (const instance of this.processes.instances) {
       const version = await readVersion(instance);
       if (version !== 1) {
         this.failedChecks.push(
-          `${instance.name} has version "${version}" in force`,
+          `${instance.name} has configuration version "${version}" in force, not 1`,
         );
       }
     }
   }
 }
 
-/** Runs the whole of it; takes well under a minute. */
+/** Runs the whole trial, which takes well under a minute. */
 export async function runTrial(options: TrialOptions): Promise<TrialReport> {
   const trial = new Trial(options);
   try {
     await trial.start();
-    await sleep(STEADY_MS);
+    await sleep(STEADY_TRAFFIC_MS);
     await trial.removeTarget();
     await trial.killAndReplaceInstance();
     await trial.stopInstance();
@@ -224,8 +234,8 @@
   }
 }
 
-/** Refused for a reason that would hold without the stop as well. */
-function isServedOrTold(record: CallerRecord): boolean {
+/** Checks whether a request ran, or was refused for a reason unrelated to the stop. */
+function isServedOrOverLimit(record: CallerRecord): boolean {
   return record.outcome === "ran" ||
     record.errorKind === "overloaded" ||
     record.errorKind === "account-over-limit";
@@ -234,8 +244,8 @@
 async function readVersion(instance: InstanceProcess): Promise<unknown> {
   try {
     const url = `http://${instance.statusAddress}/status`;
-    const answer = await request(url, { signal: AbortSignal.timeout(2_000) });
-    const status = await answer.body.json() as Record<string, unknown>;
+    const response = await request(url, { signal: AbortSignal.timeout(2_000) });
+    const status = await response.body.json() as Record<string, unknown>;
     return status["configurationVersion"];
   } catch {
     return undefined;
--- a/packages/trials/src/start/trial_report.ts
+++ b/packages/trials/src/start/trial_report.ts
@@ -1,4 +1,7 @@
-/** What a trial came to, from the targets' histories and callers' records. */
+/**
+ * Builds and renders the report of a trial from targets' histories, callers'
+ * records and instances' log lines.
+ */
 import { existsSync, readFileSync } from "node:fs";
 import type { TargetRun } from "@lentilspur/ports/fake_target";
 import { type AuditReport, checkPromises } from "@lentilspur/proof/audit";
@@ -20,17 +23,17 @@
   readonly requests: number;
   readonly sends: number;
   readonly ran: number;
-  /** Requests whose last answer was that they did not run. */
+  /** Requests whose last response says that they did not run. */
   readonly notRun: number;
-  /** Requests of which the caller never learnt the outcome. */
+  /** Requests whose outcome the caller does not know. */
   readonly unknown: number;
-  /** Ranges of keys that keepers gave a new owner, the first ones included. */
+  /** Key ranges that keepers gave a new owner, including the initial assignments. */
   readonly moves: number;
   readonly unservedMsMax: number;
-  /** What the lines of the instances show. */
+  /** Result of the audit of the instances' log lines. */
   readonly audit: AuditReport;
   readonly violations: readonly Violation[];
-  /** What else had to hold and did not. */
+  /** Failed checks other than violations and audit findings. */
   readonly failedChecks: readonly string[];
 }
 
@@ -46,38 +49,42 @@
   readonly failedChecks: readonly string[];
 }
 
-export function buildReport(facts: TrialResults): TrialReport {
+export function buildReport(results: TrialResults): TrialReport {
   const {
     records,
-    leavingTargets: leaving,
-    storeOutages: disturbances,
-    rateLimits: limits,
-    instanceLogFiles: lineFiles,
-  } = facts;
-  const runs = loadRuns(facts.historyFile, facts.targetExits);
-  const read = parseLines(lineFiles.map((file) => readFileSync(file, "utf8")));
+    leavingTargets,
+    storeOutages,
+    rateLimits,
+    instanceLogFiles,
+  } = results;
+  const runs = loadRuns(results.historyFile, results.targetExits);
+  const parsed = parseLines(
+    instanceLogFiles.map((file) => readFileSync(file, "utf8")),
+  );
   const requests = groupBy(records, ({ wantedId }) => wantedId);
-  const last = [...requests.values()].map((sends) => sends.at(-1)!.outcome);
+  const lastOutcomes = [...requests.values()].map((sends) =>
+    sends.at(-1)!.outcome
+  );
   const count = (...outcomes: readonly CallerRecord["outcome"][]): number =>
-    last.filter((outcome) => outcomes.includes(outcome)).length;
+    lastOutcomes.filter((outcome) => outcomes.includes(outcome)).length;
   return {
-    deployment: facts.deployment,
+    deployment: results.deployment,
     requests: requests.size,
     sends: records.length,
     ran: count("ran"),
     notRun: count("not-run"),
     unknown: count("unknown", "none"),
-    moves: countMoves(read.lines),
+    moves: countMoves(parsed.lines),
     unservedMsMax: Math.round(computeUnservedMsMax(records)),
-    audit: checkPromises(read),
+    audit: checkPromises(parsed),
     violations: listViolations({
       records,
       runs,
-      leaving,
-      storeOutages: disturbances,
-      rateLimits: limits,
+      leavingTargets,
+      storeOutages,
+      rateLimits,
     }),
-    failedChecks: facts.failedChecks,
+    failedChecks: results.failedChecks,
   };
 }
 
@@ -86,10 +93,13 @@
     .reduce((sum, line) => sum + Number(line["changes"] ?? 0), 0);
 }
 
-/** The last line of each run counts; one without an end ended with its target. */
+/**
+ * Loads the runs from the targets' history. The last line of each run counts; a
+ * run without an end ended when its target's process did.
+ */
 function loadRuns(
   file: string,
-  deaths: readonly TargetExit[],
+  targetExits: readonly TargetExit[],
 ): readonly TargetRun[] {
   const text = existsSync(file) ? readFileSync(file, "utf8") : "";
   const runs = new Map<string, TargetRun>();
@@ -98,47 +108,49 @@
     runs.set(`${run.target} ${run.sequence}`, run);
   }
   return [...runs.values()].map((run) => {
-    const death = deaths.find(({ target, atMs }) =>
+    const targetExit = targetExits.find(({ target, atMs }) =>
       run.endedAtMs === null && target === run.target && atMs > run.startedAtMs
     );
-    return death === undefined ? run : { ...run, endedAtMs: death.atMs };
+    return targetExit === undefined
+      ? run
+      : { ...run, endedAtMs: targetExit.atMs };
   });
 }
 
 export function renderReport(report: TrialReport): string {
-  const { violations, failedChecks: faults, audit } = report;
+  const { violations, failedChecks, audit } = report;
   const lines = [
     `${report.deployment}: ${report.requests} requests in ${report.sends} attempts: ` +
     `${report.ran} ran, ${report.notRun} not run, ${report.unknown} unknown`,
     `  ${report.moves} moves, longest time unserved ${report.unservedMsMax} ms`,
     `  audit: ${audit.requests} requests, ${audit.sends} sends, ${audit.missingLines} lines missing`,
-    ...audit.findings.slice(0, MAX_SHOWN).map(({ promise, message }) =>
+    ...audit.findings.slice(0, MAX_LISTED).map(({ promise, message }) =>
       `  FOUND ${promise}: ${message}`
     ),
-    ...violations.slice(0, MAX_SHOWN).map(({ promise, message }) =>
+    ...violations.slice(0, MAX_LISTED).map(({ promise, message }) =>
       `  BROKEN ${promise}: ${message}`
     ),
-    ...faults.map((fault) => `  FAULT ${fault}`),
+    ...failedChecks.map((check) => `  FAULT ${check}`),
   ];
   return lines.join("\n");
 }
 
-const MAX_SHOWN = 20;
+const MAX_LISTED = 20;
 
-/** The line of JSON that a run ends with. */
+/** Renders the JSON line that the command prints last. */
 export function renderSummary(reports: readonly TrialReport[]): string {
-  const add = (pick: (report: TrialReport) => number): number =>
-    reports.reduce((sum, report) => sum + pick(report), 0);
+  const sum = (getCount: (report: TrialReport) => number): number =>
+    reports.reduce((total, report) => total + getCount(report), 0);
   return JSON.stringify({
     promisesHeld: hasPassed(reports),
-    requests: add((report) => report.requests),
-    ran: add((report) => report.ran),
-    notRun: add((report) => report.notRun),
-    unknown: add((report) => report.unknown),
-    moves: add((report) => report.moves),
+    requests: sum((report) => report.requests),
+    ran: sum((report) => report.ran),
+    notRun: sum((report) => report.notRun),
+    unknown: sum((report) => report.unknown),
+    moves: sum((report) => report.moves),
     unservedMsMax: Math.max(...reports.map((each) => each.unservedMsMax)),
-    violations: add((report) => report.violations.length),
-    auditFindings: add((report) => report.audit.findings.length),
+    violations: sum((report) => report.violations.length),
+    auditFindings: sum((report) => report.audit.findings.length),
     faults: reports.flatMap((report) => report.failedChecks),
     deployments: reports.map((report) => report.deployment),
   });
--- a/packages/trials/src/traffic/caller.ts
+++ b/packages/trials/src/traffic/caller.ts
@@ -1,7 +1,7 @@
 /**
- * One caller of a client account. It sends through any instance that the
- * balancer offers, tries again only where that can do no harm, and keeps every
- * attempt's fate.
+ * Simulates one caller of a client account. It sends requests through any ready
+ * instance, retries only where a second run can do no harm, and records the
+ * result of every attempt.
  */
 import { createHash, randomUUID } from "node:crypto";
 import process from "node:process";
@@ -10,7 +10,7 @@
 import { z } from "zod";
 import type { CallerOutcome, CallerRecord } from "./caller_record.ts";
 
-/** A request to make, whichever instance takes it. */
+/** A request that a caller sends in one or more attempts. */
 export interface LogicalRequest {
   readonly template: string;
   readonly key: string;
@@ -24,14 +24,14 @@
   readonly credential: string;
   readonly clock: Clock;
   readonly random: Random;
-  /** Instances that the balancer would choose from now, as `host:port`. */
+  /** Returns the `host:port` of every instance that is ready. */
   readonly listReadyAddresses: () => readonly string[];
   readonly record: (record: CallerRecord) => void;
 }
 
-const TIMEOUT_MS = 8_000;
+const ATTEMPT_TIMEOUT_MS = 8_000;
 const MAX_ATTEMPTS = 6;
-const PAUSE_MS = 100;
+const RETRY_DELAY_MS = 100;
 
 const OUTCOMES: readonly CallerOutcome[] = ["ran", "not-run", "unknown"];
 const ERROR_BODY = z.object({
@@ -43,24 +43,27 @@
   readonly #options: CallerOptions;
   readonly #agent = new Agent({
     connect: { timeout: 1_000 },
-    headersTimeout: TIMEOUT_MS,
-    bodyTimeout: TIMEOUT_MS,
+    headersTimeout: ATTEMPT_TIMEOUT_MS,
+    bodyTimeout: ATTEMPT_TIMEOUT_MS,
   });
 
   constructor(options: CallerOptions) {
     this.#options = options;
   }
 
-  /** Tries until it ran or another attempt could do harm; gives the last one. */
-  async send(wanted: LogicalRequest): Promise<CallerRecord> {
+  /**
+   * Sends until the request has run, a retry could do harm, or `MAX_ATTEMPTS`
+   * is reached; returns the record of the last attempt.
+   */
+  async send(logicalRequest: LogicalRequest): Promise<CallerRecord> {
     const wantedId = randomUUID();
-    for (let count = 1;; count++) {
-      const record = await this.sendOnce(wanted, wantedId);
+    for (let attempt = 1;; attempt++) {
+      const record = await this.sendOnce(logicalRequest, wantedId);
       this.#options.record(record);
-      if (count === MAX_ATTEMPTS || !mayRetry(record)) {
+      if (attempt === MAX_ATTEMPTS || !mayRetry(record)) {
         return record;
       }
-      await this.#options.clock.sleep(PAUSE_MS);
+      await this.#options.clock.sleep(RETRY_DELAY_MS);
     }
   }
 
@@ -68,51 +71,54 @@
     await this.#agent.destroy();
   }
 
-  /** Sends once and lets nobody know what came of it but whoever asks. */
+  /** Sends one attempt and returns its record without reporting it to `record`. */
   async sendOnce(
-    wanted: LogicalRequest,
+    logicalRequest: LogicalRequest,
     wantedId: string = randomUUID(),
   ): Promise<CallerRecord> {
-    const entry = this.#chooseEntry();
+    const entry = this.#chooseInstance();
     const sentAtMs = readMonotonicMs();
-    const { template, key, idempotent } = wanted;
+    const { template, key, idempotent } = logicalRequest;
     const { clientAccount } = this.#options;
     const subject = { clientAccount, template, key, idempotent, wantedId };
-    const answer = await this.#fetch(wanted, entry);
+    const response = await this.#fetch(logicalRequest, entry);
     const receivedAtMs = readMonotonicMs();
-    return { ...subject, entry, ...answer, sentAtMs, receivedAtMs };
+    return { ...subject, entry, ...response, sentAtMs, receivedAtMs };
   }
 
-  async #fetch(wanted: LogicalRequest, entry: string): Promise<ResponseFields> {
+  async #fetch(
+    logicalRequest: LogicalRequest,
+    entry: string,
+  ): Promise<ResponseFields> {
     try {
-      const answer = await request(`http://${entry}${wanted.path}`, {
-        method: wanted.method,
+      const response = await request(`http://${entry}${logicalRequest.path}`, {
+        method: logicalRequest.method,
         dispatcher: this.#agent,
-        signal: AbortSignal.timeout(TIMEOUT_MS),
+        signal: AbortSignal.timeout(ATTEMPT_TIMEOUT_MS),
         headers: { authorization: `Bearer ${this.#options.credential}` },
       });
-      const body = new Uint8Array(await answer.body.arrayBuffer());
-      const { headers, statusCode: status } = answer;
-      return describeResponse(wanted, {
+      const body = new Uint8Array(await response.body.arrayBuffer());
+      const { headers, statusCode: status } = response;
+      return describeResponse(logicalRequest, {
         status,
         outcome: String(headers["lentilspur-outcome"]),
         requestId: String(headers["lentilspur-request-id"]),
         body,
       });
     } catch {
-      // No whole answer: the outcome `none` says all that a caller knows.
+      // Without a complete response, a caller knows nothing about the outcome.
       return { outcome: "none" };
     }
   }
 
-  #chooseEntry(): string {
-    const entries = this.#options.listReadyAddresses();
-    const index = Math.floor(this.#options.random.draw() * entries.length);
-    return entries[index] ?? "127.0.0.1:1";
+  #chooseInstance(): string {
+    const addresses = this.#options.listReadyAddresses();
+    const index = Math.floor(this.#options.random.draw() * addresses.length);
+    return addresses[index] ?? "127.0.0.1:1";
   }
 }
 
-/** Milliseconds on the clock that all processes of this machine share. */
+/** Reads the monotonic clock that all processes of this machine share. */
 export function readMonotonicMs(): number {
   return Number(process.hrtime.bigint()) / 1e6;
 }
@@ -141,7 +147,7 @@
 }
 
 function describeResponse(
-  wanted: LogicalRequest,
+  logicalRequest: LogicalRequest,
   received: ReceivedResponse,
 ): ResponseFields {
   const { status, requestId } = received;
@@ -155,12 +161,13 @@
   if (outcome !== "ran") {
     return { outcome, requestId, status };
   }
-  const own = TARGET_BODY.safeParse(body).data;
+  const targetBody = TARGET_BODY.safeParse(body).data;
   return {
     outcome,
     requestId,
     status,
-    isOwnAnswer: own?.requestId === requestId && own.path === wanted.path,
+    isOwnAnswer: targetBody?.requestId === requestId &&
+      targetBody.path === logicalRequest.path,
     answerDigest: createHash("sha256").update(received.body).digest("hex"),
   };
 }
@@ -169,7 +176,7 @@
   try {
     return JSON.parse(Buffer.from(bytes).toString("utf8"));
   } catch {
-    // A body that is no JSON is nobody's own answer.
+    // A body that is not JSON does not name the request that it belongs to.
     return undefined;
   }
 }
--- a/packages/trials/src/traffic/caller_record.ts
+++ b/packages/trials/src/traffic/caller_record.ts
@@ -1,35 +1,35 @@
-/** What a caller remembers of one attempt. */
+/** Defines what a caller records of one attempt. */
 
 export type CallerOutcome =
   | "ran"
   | "not-run"
   | "unknown"
-  /** The connection ended without a whole answer. */
+  /** The connection ended without a complete response. */
   | "none";
 
-/** One attempt at a request, and what came of it. */
+/** One attempt at a request and its result. */
 export interface CallerRecord {
   readonly clientAccount: string;
   readonly template: string;
   readonly key: string;
   readonly idempotent: boolean;
-  /** Of what the caller wants; all attempts at it have the same. */
+  /** Id of the caller's request; all attempts at it have the same. */
   readonly wantedId: string;
-  /** As the answer says; absent where there was none. */
+  /** Id in the response; absent without a response. */
   readonly requestId?: string;
-  /** `host:port` of the instance that was reached. */
+  /** `host:port` of the instance that the attempt was sent to. */
   readonly entry: string;
   readonly outcome: CallerOutcome;
   readonly status?: number;
-  /** Set where the system refused or failed it. */
+  /** Set where lentilspur refused or failed the request. */
   readonly errorKind?: string;
-  /** Whether the system says that a new attempt makes sense. */
+  /** Whether the error response says that another attempt makes sense. */
   readonly mayResend?: boolean;
-  /** Whether the body names this request and path, where one was whole. */
+  /** Whether a complete body names this request's id and path. */
   readonly isOwnAnswer?: boolean;
   /** SHA-256 of the body, in hex. */
   readonly answerDigest?: string;
-  /** On the machine's monotonic clock, milliseconds. */
+  /** Milliseconds on the machine's monotonic clock. */
   readonly sentAtMs: number;
   readonly receivedAtMs: number;
 }
--- a/packages/trials/src/traffic/deployment.ts
+++ b/packages/trials/src/traffic/deployment.ts
@@ -1,4 +1,4 @@
-/** The two users' deployments, in small. */
+/** Defines small versions of the two users' deployments. */
 
 export interface TargetGroup {
   readonly template: string;
@@ -10,9 +10,9 @@
 export interface RequestKind {
   readonly template: string;
   readonly method: "GET" | "POST";
-  /** `{key}` stands for the key. */
+  /** Path with the placeholder `{key}`. */
   readonly path: string;
-  /** Share of all requests. */
+  /** Fraction of all requests. */
   readonly share: number;
 }
 
@@ -29,7 +29,7 @@
   readonly targets: readonly TargetGroup[];
   readonly requests: readonly RequestKind[];
   readonly accounts: readonly CallerAccount[];
-  /** Every fourth request or so is for this one. */
+  /** About every fourth request is for this key. */
   readonly hotKey: string;
   readonly keyPrefix: string;
 }
--- a/packages/trials/src/traffic/fatal_request.ts
+++ b/packages/trials/src/traffic/fatal_request.ts
@@ -1,26 +1,33 @@
-/** Requests that crash every target that begins to run them. */
+/**
+ * Creates fatal requests, which crash every target that starts to run them, and
+ * lists those that instances keep sending.
+ */
 import type { TargetRun } from "@lentilspur/ports/fake_target";
 import type { LogicalRequest } from "./caller.ts";
 import { groupBy } from "./group_by.ts";
 
-/** Stands in the path of such a request. */
+/** Query parameter in the path of a fatal request. */
 export const FATAL_PARAMETER = "fatal";
 
-/** The system may send one on while it learns of the crashes. */
-const FREE_CRASHES = 3;
-const LEARNING_MS = 3_000;
-/** And so often after that. */
-const MAX_SENDS = 3;
+/** Instances may send a fatal request until they know of this many crashes. */
+const TOLERATED_CRASHES = 3;
+/** Time for all instances to learn of the last of these crashes. */
+const PROPAGATION_MS = 3_000;
+/** Number of sends that are allowed after that time. */
+const MAX_LATE_SENDS = 3;
 
-/** The same request as one that crashes its targets; `name` tells it from others. */
+/** Returns the request as a fatal one; `name` distinguishes it from others. */
 export function markFatal(
-  wanted: LogicalRequest,
+  logicalRequest: LogicalRequest,
   name: string,
 ): LogicalRequest {
-  return { ...wanted, path: `${wanted.path}?${FATAL_PARAMETER}=${name}` };
+  return {
+    ...logicalRequest,
+    path: `${logicalRequest.path}?${FATAL_PARAMETER}=${name}`,
+  };
 }
 
-/** Fatal requests that went on to be sent, each with how often. */
+/** Lists fatal requests that were sent too often after they should have been stopped. */
 export function listUnquarantinedRequests(
   runs: readonly TargetRun[],
 ): readonly { readonly path: string; readonly sends: number }[] {
@@ -28,13 +35,13 @@
     path?.includes(FATAL_PARAMETER) === true
   );
   return [...groupBy(fatal, ({ path }) => path ?? "")]
-    .map(([path, own]) => ({ path, sends: countLate(own) }))
-    .filter(({ sends }) => sends > MAX_SENDS);
+    .map(([path, runs]) => ({ path, sends: countLateSends(runs) }))
+    .filter(({ sends }) => sends > MAX_LATE_SENDS);
 }
 
-function countLate(runs: readonly TargetRun[]): number {
+function countLateSends(runs: readonly TargetRun[]): number {
   const times = runs.map(({ startedAtMs }) => startedAtMs)
     .toSorted((left, right) => left - right);
-  const last = times[FREE_CRASHES - 1] ?? Infinity;
-  return times.filter((atMs) => atMs > last + LEARNING_MS).length;
+  const lastCrashMs = times[TOLERATED_CRASHES - 1] ?? Infinity;
+  return times.filter((atMs) => atMs > lastCrashMs + PROPAGATION_MS).length;
 }
--- a/packages/trials/src/traffic/group_by.ts
+++ b/packages/trials/src/traffic/group_by.ts
@@ -1,17 +1,17 @@
-/** Splits `items` by name, in their order; names in order of first sight. */
+/** Groups `items` by key, in order of first occurrence. */
 export function groupBy<T>(
   items: readonly T[],
-  getName: (item: T) => string,
+  getKey: (item: T) => string,
 ): ReadonlyMap<string, readonly T[]> {
-  const parts = new Map<string, T[]>();
+  const groups = new Map<string, T[]>();
   for (const item of items) {
-    const name = getName(item);
-    const part = parts.get(name);
-    if (part === undefined) {
-      parts.set(name, [item]);
+    const key = getKey(item);
+    const group = groups.get(key);
+    if (group === undefined) {
+      groups.set(key, [item]);
     } else {
-      part.push(item);
+      group.push(item);
     }
   }
-  return parts;
+  return groups;
 }
--- a/packages/trials/src/traffic/target_limit.ts
+++ b/packages/trials/src/traffic/target_limit.ts
@@ -1,8 +1,8 @@
-/** Whether targets got no more than what they said that they take. */
+/** Checks that targets receive no more requests than the rate limits they report. */
 import type { TargetRun } from "@lentilspur/ports/fake_target";
 import { countMaxInWindow } from "@lentilspur/ports/window_count";
 
-/** A time in which a target named a limit; machine time. */
+/** A period in which a target reported a limit, on the machine's monotonic clock. */
 export interface RateLimitPeriod {
   readonly target: string;
   readonly perSecond: number;
@@ -10,32 +10,34 @@
   readonly toMs: number;
 }
 
-/** All instances keep to it this long after it was first named. */
-const LEARNING_MS = 3_000;
+/** All instances apply a limit within this time after its first report. */
+const PROPAGATION_MS = 3_000;
 const WINDOW_MS = 4_000;
-/** Of what the limit allows, and requests beyond it. */
-const MAX_SHARE = 1.5;
-const MAX_EXTRA = 5;
+/** Tolerance: this multiple of the limit, plus `TOLERANCE_REQUESTS`. */
+const TOLERANCE_FACTOR = 1.5;
+const TOLERANCE_REQUESTS = 5;
 
-/** Spans in which some window got too much, each with the most. */
+/** Lists periods in which a window had too many requests, with the largest count. */
 export function listExceededLimits(
   runs: readonly TargetRun[],
-  spans: readonly RateLimitPeriod[],
-): readonly { readonly span: RateLimitPeriod; readonly most: number }[] {
-  return spans
-    .map((span) => ({ span, most: countMost(runs, span) }))
-    .filter(({ span, most }) =>
-      most > MAX_SHARE * span.perSecond * WINDOW_MS / 1_000 + MAX_EXTRA
+  periods: readonly RateLimitPeriod[],
+): readonly { readonly period: RateLimitPeriod; readonly maxCount: number }[] {
+  return periods
+    .map((period) => ({ period, maxCount: countMaxRequests(runs, period) }))
+    .filter(({ period, maxCount }) =>
+      maxCount >
+        TOLERANCE_FACTOR * period.perSecond * WINDOW_MS / 1_000 +
+          TOLERANCE_REQUESTS
     );
 }
 
-function countMost(
+function countMaxRequests(
   runs: readonly TargetRun[],
   { target, fromMs, toMs }: RateLimitPeriod,
 ): number {
   const times = runs
     .filter((run) => run.target === target)
     .map(({ startedAtMs }) => startedAtMs)
-    .filter((atMs) => atMs >= fromMs + LEARNING_MS && atMs < toMs);
+    .filter((atMs) => atMs >= fromMs + PROPAGATION_MS && atMs < toMs);
   return countMaxInWindow(times, WINDOW_MS);
 }
--- a/packages/trials/src/traffic/traffic_generator.ts
+++ b/packages/trials/src/traffic/traffic_generator.ts
@@ -1,4 +1,4 @@
-/** Callers of all client accounts, sending until they are stopped. */
+/** Runs the callers of all client accounts, which send until they are stopped. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Random } from "@lentilspur/ports/clock";
 import { SystemClock } from "@lentilspur/ports/system_clock";
@@ -7,10 +7,10 @@
 import type { Deployment } from "./deployment.ts";
 import { markFatal } from "./fatal_request.ts";
 
-const KEYS = 24;
-const HOT_SHARE = 0.25;
-/** Mean pause of a caller between two requests. */
-const PAUSE_MS = 30;
+const KEY_COUNT = 24;
+const HOT_KEY_FRACTION = 0.25;
+/** Mean pause of a caller between two requests, in milliseconds. */
+const MEAN_PAUSE_MS = 30;
 
 export interface TrafficGeneratorOptions {
   readonly deployment: Deployment;
@@ -21,13 +21,13 @@
 export class TrafficGenerator {
   readonly records: CallerRecord[] = [];
   readonly #options: TrafficGeneratorOptions;
-  readonly #stop = new AbortController();
+  readonly #stopController = new AbortController();
   readonly #callers: readonly Caller[];
   #running: readonly Promise<void>[] = [];
 
   constructor(options: TrafficGeneratorOptions) {
     this.#options = options;
-    const { deployment, random, listReadyAddresses: listEntries } = options;
+    const { deployment, random, listReadyAddresses } = options;
     this.#callers = deployment.accounts.flatMap((account) =>
       Array.from({ length: account.callers }, () =>
         new Caller({
@@ -35,7 +35,7 @@
           credential: account.credential,
           clock: new SystemClock(),
           random,
-          listReadyAddresses: listEntries,
+          listReadyAddresses,
           record: (record) => this.records.push(record),
         }))
     );
@@ -45,40 +45,40 @@
     this.#running = this.#callers.map((caller) => this.#runCaller(caller));
   }
 
-  /** Resolves once every send has its fate. */
+  /** Stops the callers; resolves once every attempt in flight is recorded. */
   async stop(): Promise<void> {
-    this.#stop.abort();
+    this.#stopController.abort();
     await Promise.all(this.#running);
     await Promise.all(this.#callers.map((caller) => caller.close()));
   }
 
-  /** Sends one request of a kind, beside what the callers send. */
+  /** Sends one request of a kind in addition to the callers' own requests. */
   async sendExtraRequest(template: string): Promise<void> {
     const { deployment, random } = this.#options;
-    const shape = deployment.requests
+    const kind = deployment.requests
       .find((one) => one.template === template)!;
-    const key = this.#makeKey(Math.floor(random.draw() * KEYS));
+    const key = this.#makeKey(Math.floor(random.draw() * KEY_COUNT));
     const caller = this
       .#callers[Math.floor(random.draw() * this.#callers.length)]!;
-    this.records.push(await caller.sendOnce(makeRequest(shape, key)));
+    this.records.push(await caller.sendOnce(makeRequest(kind, key)));
   }
 
-  /** Sends a fatal request as one of the callers; `name` tells it from others. */
+  /** Sends a fatal request as one of the callers; `name` distinguishes it from others. */
   async sendFatalRequest(name: string): Promise<void> {
-    const shape = this.#options.deployment.requests[0]!;
-    const wanted = makeRequest(shape, this.#makeKey(0));
+    const kind = this.#options.deployment.requests[0]!;
+    const logicalRequest = makeRequest(kind, this.#makeKey(0));
     this.records
-      .push(await this.#callers[0]!.sendOnce(markFatal(wanted, name)));
+      .push(await this.#callers[0]!.sendOnce(markFatal(logicalRequest, name)));
   }
 
-  /** Sends one request of each kind; true if all were answered. */
+  /** Sends one request of each kind for each key; returns whether all of them ran. */
   async checkAllKeysServed(): Promise<boolean> {
     const [caller] = this.#callers;
     const records = await Promise.all(
-      this.#options.deployment.requests.flatMap((shape) =>
+      this.#options.deployment.requests.flatMap((kind) =>
         Array.from(
-          { length: KEYS },
-          (_, index) => caller!.send(makeRequest(shape, this.#makeKey(index))),
+          { length: KEY_COUNT },
+          (_, index) => caller!.send(makeRequest(kind, this.#makeKey(index))),
         )
       ),
     );
@@ -87,23 +87,23 @@
 
   async #runCaller(caller: Caller): Promise<void> {
     const { random } = this.#options;
-    while (!this.#stop.signal.aborted) {
+    while (!this.#stopController.signal.aborted) {
       await caller.send(this.#drawRequest());
-      await sleep(PAUSE_MS * 2 * random.draw());
+      await sleep(MEAN_PAUSE_MS * 2 * random.draw());
     }
   }
 
   #drawRequest(): LogicalRequest {
     const { deployment, random } = this.#options;
-    let left = random.draw();
-    const shape = deployment.requests.find((each) => {
-      left -= each.share;
-      return left < 0;
+    let remaining = random.draw();
+    const kind = deployment.requests.find((each) => {
+      remaining -= each.share;
+      return remaining < 0;
     }) ?? deployment.requests[0]!;
-    const key = random.draw() < HOT_SHARE
+    const key = random.draw() < HOT_KEY_FRACTION
       ? deployment.hotKey
-      : this.#makeKey(Math.floor(random.draw() * KEYS));
-    return makeRequest(shape, key);
+      : this.#makeKey(Math.floor(random.draw() * KEY_COUNT));
+    return makeRequest(kind, key);
   }
 
   #makeKey(index: number): string {
@@ -112,14 +112,14 @@
 }
 
 function makeRequest(
-  shape: Deployment["requests"][number],
+  kind: Deployment["requests"][number],
   key: string,
 ): LogicalRequest {
   return {
-    template: shape.template,
+    template: kind.template,
     key,
-    method: shape.method,
-    path: shape.path.replace("{key}", key),
-    idempotent: shape.method === "GET",
+    method: kind.method,
+    path: kind.path.replace("{key}", key),
+    idempotent: kind.method === "GET",
   };
 }
--- a/packages/trials/src/traffic/violations.ts
+++ b/packages/trials/src/traffic/violations.ts
@@ -1,6 +1,7 @@
 /**
- * Judges a trial from outside: what callers were told against what the targets
- * wrote down. It knows nothing of the system in between.
+ * Lists violations of lentilspur's guarantees by comparing the responses that
+ * callers recorded with the runs that targets recorded. The checks use nothing
+ * that instances report about themselves.
  */
 import type { TargetRun } from "@lentilspur/ports/fake_target";
 import type { CallerRecord } from "./caller_record.ts";
@@ -20,13 +21,13 @@
   readonly message: string;
 }
 
-/** When a target was said to be leaving. */
+/** A target and when it announced that it leaves. */
 export interface LeavingTarget {
   readonly target: string;
   readonly atMs: number;
 }
 
-/** A time in which instances could not learn what the store knew. */
+/** A period in which instances could not read the store. */
 export interface StoreOutage {
   readonly fromMs: number;
   readonly toMs: number;
@@ -35,51 +36,63 @@
 export interface TrialObservations {
   readonly records: readonly CallerRecord[];
   readonly runs: readonly TargetRun[];
-  readonly leaving: readonly LeavingTarget[];
-  /** Of the store, or of the way to it. */
+  readonly leavingTargets: readonly LeavingTarget[];
+  /** Outages of the store or of the links to the store. */
   readonly storeOutages?: readonly StoreOutage[];
   readonly rateLimits?: readonly RateLimitPeriod[];
 }
 
-/** "After a few seconds": the reading of entries and a planner's round included. */
+/**
+ * Longest time that a leaving target may still start runs, documented as "after
+ * a few seconds". It includes reading the target's entry and a planning round.
+ */
 const MAX_LEAVING_MS = 5_000;
 
 export function listViolations(
-  evidence: TrialObservations,
+  observations: TrialObservations,
 ): readonly Violation[] {
-  // A target whose hold had run out abandoned these before their effect.
-  const runs = evidence.runs.filter((run) => run.ending !== "lapsed");
-  const runsOf = groupBy(runs, ({ requestId }) => requestId);
+  // A target whose hold expired abandoned these runs before they had an effect.
+  const runs = observations.runs.filter((run) => run.ending !== "lapsed");
+  const runsByRequestId = groupBy(runs, ({ requestId }) => requestId);
   return [
-    ...checkAtMostOnce(evidence.records, runsOf),
-    ...checkNotRun(evidence.records, runsOf),
-    // Their answers are the target's all the same: they say that it failed.
-    ...checkAnswers(
-      evidence.records,
-      groupBy(evidence.runs, ({ requestId }) => requestId),
+    ...checkAtMostOnce(observations.records, runsByRequestId),
+    ...checkNotRun(observations.records, runsByRequestId),
+    // Abandoned runs count here: the target responds to them with a failure.
+    ...checkResponses(
+      observations.records,
+      groupBy(observations.runs, ({ requestId }) => requestId),
     ),
     ...checkSoleOwner(runs),
-    ...checkLeaving(runs, evidence.leaving, evidence.storeOutages ?? []),
-    ...checkFatal(runs),
-    ...checkLimits(evidence.runs, evidence.rateLimits ?? []),
+    ...checkLeavingTargets(
+      runs,
+      observations.leavingTargets,
+      observations.storeOutages ?? [],
+    ),
+    ...checkFatalRequests(runs),
+    ...checkRateLimits(observations.runs, observations.rateLimits ?? []),
   ];
 }
 
-type RunsOf = ReadonlyMap<string, readonly TargetRun[]>;
+type RunsByRequestId = ReadonlyMap<string, readonly TargetRun[]>;
 
-function listRuns(record: CallerRecord, runsOf: RunsOf): readonly TargetRun[] {
-  return runsOf.get(record.requestId ?? "") ?? [];
+function listRuns(
+  record: CallerRecord,
+  runsByRequestId: RunsByRequestId,
+): readonly TargetRun[] {
+  return runsByRequestId.get(record.requestId ?? "") ?? [];
 }
 
-/** All attempts at one thing together, since attempts follow each other. */
+/** Counts the runs of all attempts at a request, since a retry may run as well. */
 function checkAtMostOnce(
   records: readonly CallerRecord[],
-  runsOf: RunsOf,
+  runsByRequestId: RunsByRequestId,
 ): readonly Violation[] {
-  const once = records.filter((record) => !record.idempotent);
-  return [...groupBy(once, ({ wantedId }) => wantedId)]
+  const nonIdempotent = records.filter((record) => !record.idempotent);
+  return [...groupBy(nonIdempotent, ({ wantedId }) => wantedId)]
     .flatMap(([wantedId, attempts]) => {
-      const runs = attempts.flatMap((attempt) => listRuns(attempt, runsOf));
+      const runs = attempts.flatMap((attempt) =>
+        listRuns(attempt, runsByRequestId)
+      );
       return runs.length <= 1 ? [] : [{
         promise: "at-most-once" as const,
         message: `"${wantedId}" ran ${runs.length} times, on ${
@@ -93,126 +106,128 @@
 
 function checkNotRun(
   records: readonly CallerRecord[],
-  runsOf: RunsOf,
+  runsByRequestId: RunsByRequestId,
 ): readonly Violation[] {
   return records.filter(({ outcome }) => outcome === "not-run")
     .flatMap((record) =>
-      listRuns(record, runsOf).map(({ target, requestId }) => ({
+      listRuns(record, runsByRequestId).map(({ target, requestId }) => ({
         promise: "not-run-is-true" as const,
-        message: `"${requestId}" was told "not run" and ran on ${target}`,
+        message: `"${requestId}" was reported as not run but ran on ${target}`,
       }))
     );
 }
 
-function checkAnswers(
+function checkResponses(
   records: readonly CallerRecord[],
-  runsOf: RunsOf,
+  runsByRequestId: RunsByRequestId,
 ): readonly Violation[] {
   return records.flatMap((record) => {
     if (record.outcome !== "ran" || record.errorKind !== undefined) {
       return [];
     }
-    const isOfRun = listRuns(record, runsOf)
+    const isOfRun = listRuns(record, runsByRequestId)
       .some(({ answerDigest }) => answerDigest === record.answerDigest);
     return record.isOwnAnswer === true && isOfRun ? [] : [{
       promise: "own-answer" as const,
       message:
-        `"${record.requestId}" received an answer that no run of it gave`,
+        `"${record.requestId}" received a response that none of its runs sent`,
     }];
   });
 }
 
-/** Two targets never run requests of one key at the same time. */
+/** Checks that no two targets run requests for one key at the same time. */
 function checkSoleOwner(runs: readonly TargetRun[]): readonly Violation[] {
-  const ofKey = groupBy(runs, (run) => `${run.service} ${run.key}`);
+  const runsByKey = groupBy(runs, (run) => `${run.service} ${run.key}`);
   const violations: Violation[] = [];
-  for (const [key, ownRuns] of ofKey) {
-    const sorted = ownRuns.toSorted((a, b) => a.startedAtMs - b.startedAtMs);
-    const endOf = new Map<string, number>();
+  for (const [key, runsOfKey] of runsByKey) {
+    const sorted = runsOfKey.toSorted((a, b) => a.startedAtMs - b.startedAtMs);
+    const lastEndByTarget = new Map<string, number>();
     for (const run of sorted) {
-      for (const [target, endedAtMs] of endOf) {
+      for (const [target, endedAtMs] of lastEndByTarget) {
         if (target !== run.target && endedAtMs > run.startedAtMs) {
-          const message = `${run.target} ran "${key}" while ${target} did`;
+          const message = `${run.target} ran "${key}" while ${target} ran it`;
           violations.push({ promise: "sole-owner", message });
         }
       }
-      const end = Math.max(
-        endOf.get(run.target) ?? 0,
+      const lastEndMs = Math.max(
+        lastEndByTarget.get(run.target) ?? 0,
         run.endedAtMs ?? Infinity,
       );
-      endOf.set(run.target, end);
+      lastEndByTarget.set(run.target, lastEndMs);
     }
   }
   return violations;
 }
 
 /**
- * Who cannot read the store cannot know who leaves: what comes while it is
- * disturbed, or sooner after that than an ordinary leave takes, is not counted.
+ * Checks that a leaving target starts no run after `MAX_LEAVING_MS`. Instances
+ * that cannot read the store do not know that a target leaves. Runs during an
+ * outage that ends after the announcement, or within `MAX_LEAVING_MS` of the end
+ * of that outage, are therefore not violations.
  */
-function checkLeaving(
+function checkLeavingTargets(
   runs: readonly TargetRun[],
-  leaving: readonly LeavingTarget[],
-  disturbances: readonly StoreOutage[],
+  leavingTargets: readonly LeavingTarget[],
+  storeOutages: readonly StoreOutage[],
 ): readonly Violation[] {
-  const isExcused = (atMs: number, startedAtMs: number): boolean =>
-    disturbances.some(({ fromMs, toMs }) =>
+  const isExcusedByOutage = (atMs: number, startedAtMs: number): boolean =>
+    storeOutages.some(({ fromMs, toMs }) =>
       fromMs < startedAtMs && toMs + MAX_LEAVING_MS > startedAtMs &&
       toMs > atMs
     );
-  return leaving.flatMap(({ target, atMs }) =>
+  return leavingTargets.flatMap(({ target, atMs }) =>
     runs
       .filter((run) => run.target === target)
       .filter((run) => run.startedAtMs > atMs + MAX_LEAVING_MS)
-      .filter((run) => !isExcused(atMs, run.startedAtMs))
+      .filter((run) => !isExcusedByOutage(atMs, run.startedAtMs))
       .map((run) => ({
         promise: "leaving-target" as const,
         message: `${target} started "${run.requestId}" ${
           Math.round(run.startedAtMs - atMs)
-        } ms after it was leaving`,
+        } ms after it announced that it leaves`,
       }))
   );
 }
 
-function checkFatal(runs: readonly TargetRun[]): readonly Violation[] {
+function checkFatalRequests(runs: readonly TargetRun[]): readonly Violation[] {
   return listUnquarantinedRequests(runs).map(({ path, sends }) => ({
     promise: "fatal-request",
-    message: `"${path}" was sent on ${sends} times after three crashes`,
+    message: `"${path}" was sent ${sends} more times after three crashes`,
   }));
 }
 
-function checkLimits(
+function checkRateLimits(
   runs: readonly TargetRun[],
-  limits: readonly RateLimitPeriod[],
+  rateLimits: readonly RateLimitPeriod[],
 ): readonly Violation[] {
-  return listExceededLimits(runs, limits).map(({ span, most }) => ({
+  return listExceededLimits(runs, rateLimits).map(({ period, maxCount }) => ({
     promise: "target-limit",
     message:
-      `${span.target} got ${most} requests in 4 s and takes ${span.perSecond} a second`,
+      `${period.target} received ${maxCount} requests in 4 s; its limit is ${period.perSecond} per second`,
   }));
 }
 
 /**
- * The longest time that one key went unserved: from a send that failed, or
- * that was answered late, to the next whole answer for that key.
+ * Computes the longest time that a key went unserved: from a send that failed,
+ * or whose response was slow, to the next complete response for that key.
  */
 export function computeUnservedMsMax(
   records: readonly CallerRecord[],
 ): number {
-  let longest = 0;
-  const ofKey = groupBy(records, (r) => `${r.template} ${r.key}`);
-  for (const sends of ofKey.values()) {
-    let unservedSince: number | undefined;
-    const sorted = sends.toSorted((a, b) => a.sentAtMs - b.sentAtMs);
-    for (const send of sorted) {
-      const since = unservedSince ?? send.sentAtMs;
-      if (send.outcome === "ran") {
-        longest = Math.max(longest, send.receivedAtMs - since);
-        unservedSince = undefined;
+  let longestMs = 0;
+  const attemptsByKey = groupBy(records, (r) => `${r.template} ${r.key}`);
+  for (const attempts of attemptsByKey.values()) {
+    let unservedSinceMs: number | undefined;
+    const sorted = attempts.toSorted((a, b) => a.sentAtMs - b.sentAtMs);
+    for (const attempt of sorted) {
+      const failedSinceMs = unservedSinceMs ?? attempt.sentAtMs;
+      if (attempt.outcome === "ran") {
+        longestMs = Math.max(longestMs, attempt.receivedAtMs - failedSinceMs);
+        unservedSinceMs = undefined;
       } else {
-        unservedSince = since;
+        unservedSinceMs = failedSinceMs;
       }
     }
   }
-  return longest;
+  return longestMs;
 }
--- a/packages/trials/src/traffic/violations_test.ts
+++ b/packages/trials/src/traffic/violations_test.ts
@@ -43,31 +43,36 @@
   };
 }
 
-function listBroken(
+function listViolatedGuarantees(
   observations: Partial<TrialObservations>,
 ): readonly string[] {
-  const whole = { records: [makeRecord()], runs: [makeRun()], leaving: [] };
+  const whole = {
+    records: [makeRecord()],
+    runs: [makeRun()],
+    leavingTargets: [],
+  };
   return listViolations({ ...whole, ...observations })
     .map((violation) => violation.promise);
 }
 
-test("a request that ran once and was answered breaks nothing", () => {
-  assert.deepEqual(listBroken({}), []);
+test("a request that ran once and got its response violates nothing", () => {
+  assert.deepEqual(listViolatedGuarantees({}), []);
 });
 
-test("a second run of a non-idempotent request is found", () => {
+test("a second run of a non-idempotent request is detected", () => {
   const second = makeRun({ startedAtMs: 500, endedAtMs: 510 });
-  assert.deepEqual(listBroken({ runs: [makeRun(), second] }), ["at-most-once"]);
+  assert.deepEqual(listViolatedGuarantees({ runs: [makeRun(), second] }), [
+    "at-most-once",
+  ]);
   const lapsed = makeRun({ ...second, ending: "lapsed" });
-  assert.deepEqual(listBroken({ runs: [makeRun(), lapsed] }), []);
+  assert.deepEqual(listViolatedGuarantees({ runs: [makeRun(), lapsed] }), []);
   const lookup = [makeRecord({ idempotent: true })];
   const runs = [makeRun(), second];
-  assert.deepEqual(listBroken({ records: lookup, runs }), []);
+  assert.deepEqual(listViolatedGuarantees({ records: lookup, runs }), []);
 });
 
-test("a second attempt that runs after the first did is found", () => {
-  // The caller was told "not run" of the first attempt, which ran after all,
-  // and so made a second one.
+test("a retry that runs although the first attempt ran is detected", () => {
+  // The first attempt ran but was reported as not run, so the caller retried.
   const refused = makeRecord({ outcome: "not-run", errorKind: "overloaded" });
   const again = makeRecord({ requestId: "b", answerDigest: "d2" });
   const runs = [
@@ -79,65 +84,86 @@
       answerDigest: "d2",
     }),
   ];
-  assert.deepEqual(listBroken({ records: [refused, again], runs }), [
-    "at-most-once",
-    "not-run-is-true",
-  ]);
+  assert.deepEqual(
+    listViolatedGuarantees({ records: [refused, again], runs }),
+    [
+      "at-most-once",
+      "not-run-is-true",
+    ],
+  );
 });
 
-test("a run before or after the word 'not run' is found", () => {
+test("a run before or after the report that the request did not run is detected", () => {
   const refused = makeRecord({ outcome: "not-run", errorKind: "overloaded" });
-  const broken = ["not-run-is-true"];
-  assert.deepEqual(listBroken({ records: [refused] }), broken);
+  const violated = ["not-run-is-true"];
+  assert.deepEqual(listViolatedGuarantees({ records: [refused] }), violated);
   const late = [makeRun({ startedAtMs: 900, endedAtMs: 910 })];
-  assert.deepEqual(listBroken({ records: [refused], runs: late }), broken);
+  assert.deepEqual(
+    listViolatedGuarantees({ records: [refused], runs: late }),
+    violated,
+  );
   const again = makeRecord({ requestId: "b" });
   const runs = [makeRun({ requestId: "b" })];
-  assert.deepEqual(listBroken({ records: [refused, again], runs }), []);
+  assert.deepEqual(
+    listViolatedGuarantees({ records: [refused, again], runs }),
+    [],
+  );
 });
 
-test("an answer of another request, or of no run, is found", () => {
-  const broken = ["own-answer"];
+test("a response to another request, or from no run, is detected", () => {
+  const violated = ["own-answer"];
   const foreign = [makeRecord({ isOwnAnswer: false })];
-  assert.deepEqual(listBroken({ records: foreign }), broken);
+  assert.deepEqual(listViolatedGuarantees({ records: foreign }), violated);
   const cut = [makeRecord({ answerDigest: "d2" })];
-  assert.deepEqual(listBroken({ records: cut }), broken);
+  assert.deepEqual(listViolatedGuarantees({ records: cut }), violated);
 });
 
-test("the answer of a run whose hold had run out is its own", () => {
+test("the response of a run whose hold expired counts as its own", () => {
   const failed = makeRecord({ status: 500 });
   const lapsed = makeRun({ ending: "lapsed" });
-  assert.deepEqual(listBroken({ records: [failed], runs: [lapsed] }), []);
+  assert.deepEqual(
+    listViolatedGuarantees({ records: [failed], runs: [lapsed] }),
+    [],
+  );
 });
 
-test("two targets that run one key at the same time are found", () => {
+test("two targets that run one key at the same time are detected", () => {
   const other = makeRun({ target: "t2", requestId: "b", startedAtMs: 119 });
   const runs = [makeRun(), other];
-  assert.deepEqual(listBroken({ runs }), ["sole-owner"]);
+  assert.deepEqual(listViolatedGuarantees({ runs }), ["sole-owner"]);
   const after = { ...other, startedAtMs: 121, endedAtMs: 125 };
-  assert.deepEqual(listBroken({ runs: [makeRun(), after] }), []);
+  assert.deepEqual(listViolatedGuarantees({ runs: [makeRun(), after] }), []);
 });
 
-test("new work on a target that has long been leaving is found", () => {
-  const leaving = (atMs: number) => [{ target: "t1", atMs }];
-  assert.deepEqual(listBroken({ leaving: leaving(0) }), []);
-  assert.deepEqual(listBroken({ leaving: leaving(-5_000) }), [
-    "leaving-target",
-  ]);
+test("a run on a target that announced its leaving long before is detected", () => {
+  const createLeaving = (atMs: number) => [{ target: "t1", atMs }];
+  assert.deepEqual(
+    listViolatedGuarantees({ leavingTargets: createLeaving(0) }),
+    [],
+  );
+  assert.deepEqual(
+    listViolatedGuarantees({ leavingTargets: createLeaving(-5_000) }),
+    [
+      "leaving-target",
+    ],
+  );
 });
 
-test("who could not read the store is not held to what it said", () => {
-  // Seed 1 of the soak: the store refused all calls for 6 s while a target said
-  // that it leaves. The entry stood in the store only after the outage.
-  const leaving = [{ target: "t1", atMs: -6_000 }];
+test("runs on a leaving target are allowed while the store cannot be read", () => {
+  // Seed 1 of the soak: the store refused all calls for 6 s while a target
+  // announced that it leaves, so its entry reached the store after the outage.
+  const leavingTargets = [{ target: "t1", atMs: -6_000 }];
   const list = (fromMs: number, toMs: number) =>
-    listBroken({ leaving, storeOutages: [{ fromMs, toMs }] });
+    listViolatedGuarantees({
+      leavingTargets,
+      storeOutages: [{ fromMs, toMs }],
+    });
   assert.deepEqual(list(-6_500, -500), []);
   assert.deepEqual(list(-30_000, -7_000), ["leaving-target"]);
   assert.deepEqual(list(500, 5_000), ["leaving-target"]);
 });
 
-test("a key is unserved from its first failure to the next answer", () => {
+test("a key is unserved from its first failure to the next response", () => {
   const records = [
     makeRecord({ sentAtMs: 0, receivedAtMs: 10 }),
     makeRecord({ outcome: "not-run", sentAtMs: 100, receivedAtMs: 101 }),
@@ -148,7 +174,7 @@
   assert.equal(computeUnservedMsMax(records), 220);
 });
 
-/** Runs of different requests at one target, each on a key of its own. */
+/** Creates runs of different requests at one target, each for its own key. */
 function makeRuns(times: readonly number[], path?: string): TargetRun[] {
   return times.map((startedAtMs, key) =>
     makeRun({
@@ -161,27 +187,29 @@
   );
 }
 
-test("a request that goes on crashing targets is found", () => {
+test("a request that keeps crashing targets is detected", () => {
   const times = [0, 1_000, 2_000, 5_500, 6_500, 7_500, 8_500];
   const runs = makeRuns(times, "/files/1?fatal=1");
-  assert.deepEqual(listBroken({ records: [], runs }), ["fatal-request"]);
+  assert.deepEqual(listViolatedGuarantees({ records: [], runs }), [
+    "fatal-request",
+  ]);
   const stopped = runs.slice(0, 6);
-  assert.deepEqual(listBroken({ records: [], runs: stopped }), []);
+  assert.deepEqual(listViolatedGuarantees({ records: [], runs: stopped }), []);
 });
 
-test("a target that gets more than the limit that it names is found", () => {
-  const span = { target: "t1", perSecond: 1, fromMs: 0, toMs: 10_000 };
+test("a target that receives more requests than its limit allows is detected", () => {
+  const period = { target: "t1", perSecond: 1, fromMs: 0, toMs: 10_000 };
   const times = Array.from({ length: 60 }, (_, index) => index * 250);
   const many = makeRuns(times);
   const few = makeRuns(times.filter((_, index) => index % 2 === 0));
   assert.deepEqual(
-    listBroken({ records: [], runs: many, rateLimits: [span] }),
+    listViolatedGuarantees({ records: [], runs: many, rateLimits: [period] }),
     [
       "target-limit",
     ],
   );
   assert.deepEqual(
-    listBroken({ records: [], runs: few, rateLimits: [span] }),
+    listViolatedGuarantees({ records: [], runs: few, rateLimits: [period] }),
     [],
   );
 });
