--- a/packages/gateway/src/entry/caller_request.ts
+++ b/packages/gateway/src/entry/caller_request.ts
@@ -5,7 +5,10 @@
 
 /** Values that callers send in headers; the adapter defines the headers' names. */
 export interface RequestMetadata {
-  /** Identifies one attempt of a caller. */
+  /**
+   * Identifies the caller's request; a retry by the caller has another id.
+   * Undefined if the request must be refused as malformed.
+   */
   readonly requestId: string | undefined;
   /** How long the caller waits, counted from when it sent the request. */
   readonly deadlineMs: number | undefined;
@@ -35,6 +38,6 @@
     readonly kind: "failed";
     readonly failure: ErrorKind;
     readonly message: string;
-    /** Delay after which a new attempt may succeed. */
+    /** Delay after which a retry by the caller may succeed. */
     readonly retryAfterMs?: number;
   };
--- a/packages/gateway/src/entry/graceful_shutdown.ts
+++ b/packages/gateway/src/entry/graceful_shutdown.ts
@@ -5,7 +5,7 @@
 
 /** Times of a graceful shutdown, counted from the signal. */
 export interface ShutdownTiming {
-  /** After this long without a request, no more callers are expected. */
+  /** How long no request may have arrived before the instance counts as drained. */
   readonly quietMs: number;
   /** After this, new requests are refused. */
   readonly refuseAfterMs: number;
@@ -15,9 +15,12 @@
 
 /** The process ends by itself this long before it is killed. */
 const STOP_MARGIN_MS = 400;
-/** Callers still send requests for some seconds after the signal. */
+/** Value of `quietMs`: callers still send requests for some seconds after the signal. */
 const IDLE_MS = 3_000;
-/** A request that starts this long before the kill finishes; deadlines are about 2 s. */
+/**
+ * A request that starts at least this long before the process is killed can still
+ * finish, since deadlines are about 2 s.
+ */
 const LAST_REQUEST_MS = 2_300;
 /** With a shorter grace period no request could finish before the kill. */
 export const MIN_GRACE_PERIOD_MS = LAST_REQUEST_MS + STOP_MARGIN_MS;
--- a/packages/gateway/src/entry/request_metadata.ts
+++ b/packages/gateway/src/entry/request_metadata.ts
@@ -11,10 +11,10 @@
 const CREDENTIAL_HEADER = "authorization";
 
 /**
- * Gives each attempt a new id. A request that brings an id is refused: its
- * caller may expect that a second attempt counts as the first, which a router
- * without a record of past requests cannot ensure for work that may run only
- * once.
+ * Gives each request a new id. Returns no id for a request that brings one; the
+ * server then refuses it as malformed. Its caller may expect that a retry under
+ * the same id counts as the first request, which a router without a record of
+ * past requests cannot ensure for work that may run only once.
  */
 export function parseRequestMetadata(
   headers: readonly HeaderField[],
@@ -32,7 +32,7 @@
   };
 }
 
-/** Returns undefined for an invalid deadline, so that the template's default applies. */
+/** Returns undefined for an invalid deadline, so that the route's default applies. */
 function parseDeadline(text: string | undefined): number | undefined {
   return text !== undefined && /^[0-9]{1,9}$/.test(text)
     ? Number(text)
--- a/packages/gateway/src/entry/request_server.ts
+++ b/packages/gateway/src/entry/request_server.ts
@@ -77,7 +77,7 @@
   readonly #options: RequestServerOptions;
   readonly #server: Server;
   #limits = DEFAULT_LIMITS;
-  #isStopping = false;
+  #isDraining = false;
   #isRefusing = false;
   #openRequests = 0;
   #lastRequestAtMs = -Infinity;
@@ -125,9 +125,12 @@
     this.#server.requestTimeout = limits.headTimeoutMs + BODY_TIMEOUT_MS;
   }
 
-  /** Closes each connection after its current or next request. */
+  /**
+   * Closes each connection after its current or next request. Still accepts new
+   * connections and requests, see `refuse`.
+   */
   drain(): void {
-    this.#isStopping = true;
+    this.#isDraining = true;
   }
 
   /**
@@ -265,7 +268,7 @@
       return;
     }
     // A connection with an unread body cannot carry another request.
-    if (this.#isStopping || !message.complete) {
+    if (this.#isDraining || !message.complete) {
       response.setHeader("Connection", "close");
     }
     switch (finalResponse.kind) {
--- a/packages/gateway/src/keeper/keeper_exchange.ts
+++ b/packages/gateway/src/keeper/keeper_exchange.ts
@@ -3,11 +3,11 @@
  * to the records in the store: whether a keeper that cannot reach the store may
  * keep acting, and whether a replaced keeper has stopped.
  *
- * Load pattern: the store answers some instances but not the keeper for 9 s.
- * Without these messages, the successor would have to wait for as long as the
- * keeper may act without the store, and each key that moves meanwhile would be
- * unserved for the duration of a hold: a quarter of all requests were refused
- * for 23 s.
+ * Failure case: the store answers some instances, but does not answer the keeper
+ * for 9 s. Without these messages, the successor would have to wait for as long
+ * as the keeper may act without the store. Each key that moved meanwhile would
+ * have no holder for the duration of a hold. In such a run, a quarter of all
+ * requests were refused for 23 s.
  *
  * Each message is sent again until it is answered, since a datagram may be
  * lost.
@@ -18,6 +18,7 @@
   UnresolvedKeeper,
 } from "@lentilspur/ownership/keeper_records";
 
+/** A `term` is the offset of a claim in the partition. */
 export type KeeperMessage =
   | {
     /** A keeper that cannot reach the store asks a witness for a pledge. */
@@ -47,7 +48,10 @@
     readonly from: string;
     readonly incarnation: string;
     readonly part: number;
-    /** The sender acts on no claim with an offset below this one any more. */
+    /**
+     * The sender no longer acts on claims with a term below this one. An
+     * exclusive bound, not the term of a claim of the sender.
+     */
     readonly term: number;
     /** Whether none of the sender's orders can take effect any more. */
     readonly isClean: boolean;
@@ -107,8 +111,8 @@
 }
 
 interface StopNotice {
-  /** The keeper acts on no claim with an offset below this one any more. */
-  readonly term: number;
+  /** The keeper no longer acts on claims with a term below this one. */
+  readonly stoppedBelowTerm: number;
   readonly isClean: boolean;
   readonly atMs: number;
 }
@@ -207,6 +211,7 @@
   ): void {
     const { claim: { instance: from, incarnation }, send } = this.#options;
     const { isClean } = keeper;
+    // The bound is exclusive: the notice covers this keeper's own claim.
     const term = keeper.term + 1;
     for (const instance of instances) {
       const kind = "keeper-stopped";
@@ -226,7 +231,7 @@
     keeper: UnresolvedKeeper,
   ): StopNotice | undefined {
     const notice = this.#stopNotices.get(part)?.get(keeper.incarnation);
-    return notice !== undefined && notice.term > keeper.term
+    return notice !== undefined && notice.stoppedBelowTerm > keeper.term
       ? notice
       : undefined;
   }
@@ -266,16 +271,16 @@
       new Map<string, StopNotice>();
     this.#stopNotices.set(part, notices);
     const previous = notices.get(incarnation);
-    if (previous !== undefined && previous.term > term) {
+    if (previous !== undefined && previous.stoppedBelowTerm > term) {
       return;
     }
     const nowMs = this.#options.clock.readMs();
-    const atMs = previous?.term === term ? previous.atMs : nowMs;
-    if (previous?.term !== term || previous.isClean !== isClean) {
+    const atMs = previous?.stoppedBelowTerm === term ? previous.atMs : nowMs;
+    if (previous?.stoppedBelowTerm !== term || previous.isClean !== isClean) {
       const kind = "predecessor-stopped";
       this.#options.observe({ kind, part, keeper, term, isClean });
     }
-    notices.set(incarnation, { term, isClean, atMs });
+    notices.set(incarnation, { stoppedBelowTerm: term, isClean, atMs });
     if (notices.size > MAX_STOP_NOTICES) {
       notices.delete(notices.keys().next().value!);
     }
--- a/packages/gateway/src/keeper/keeper_service.ts
+++ b/packages/gateway/src/keeper/keeper_service.ts
@@ -32,8 +32,8 @@
 import type { KeeperTiming } from "@lentilspur/ownership/keeper_timing";
 import type { Holder } from "@lentilspur/ownership/key_table";
 import {
-  type AwaitedPredecessor,
   PredecessorTracker,
+  type UnresolvedPredecessor,
 } from "./predecessor_tracker.ts";
 import {
   KeeperExchange,
@@ -65,7 +65,7 @@
      */
     readonly kind: "waits";
     readonly part: number;
-    readonly awaited: readonly AwaitedPredecessor[];
+    readonly awaited: readonly UnresolvedPredecessor[];
   }
   | PartitionAssignmentEvent
   | { readonly kind: "record-fault"; readonly message: string }
@@ -91,20 +91,25 @@
   readonly listServiceSnapshots: (part: number) => readonly ServiceSnapshot[];
   /** The view of a partition, if this instance follows the partition. */
   readonly getView: (part: number) => PartitionView | undefined;
-  /** Confirmations from before this time do not count; own clock. */
+  /**
+   * Time of the last suspected suspension of this process: reads of the store
+   * before it no longer prove that there is no newer claim; own clock.
+   */
   readonly getTrustedSinceMs: () => number;
   readonly hasEnded: (holder: Holder) => boolean;
   readonly hasInstanceEnded: (claim: KeeperClaim) => boolean;
   /**
-   * Reads the members' records, to learn of later incarnations of instances.
+   * Reads the instances' member records, to learn of later incarnations.
    */
   readonly refreshMembers: () => void;
   /** Whether an instance has sent a datagram recently. */
   readonly isAlive: (instance: string) => boolean;
   /**
-   * The other live instances that may become keepers, each with its current
-   * incarnation. An instance that is missing here and claims nevertheless waits
-   * for at most the time that a keeper may act without the store.
+   * The other live instances that send heartbeats to all data centres, each with
+   * its current incarnation. All keeper candidates are among them, and this
+   * instance's keepers name them as witnesses. A successor that is not listed was
+   * not a witness, so it waits until the keeper has stopped for certain, which is
+   * after `maxAuthorityMs` at the latest.
    */
   readonly listAlive: () => readonly KeeperClaim[];
   /** Whether this instance is a keeper candidate. */
@@ -142,7 +147,11 @@
  * the group joins every 0.5 s.
  */
 const STORE_CONTACT_TTL_MS = 1_200;
-/** How long a live predecessor may take to hand over before it is replaced. */
+/**
+ * How long a live predecessor may take to hand over before it is replaced. A
+ * predecessor that has asked for a pledge within this time counts as cut off from
+ * the store.
+ */
 const HANDOVER_TIMEOUT_MS = 1_500;
 
 export class KeeperService {
@@ -157,7 +166,7 @@
   /**
    * The predecessors that each partition's keeper waits for, as last reported.
    */
-  readonly #reportedAwaited = new Map<number, string>();
+  readonly #reportedUnresolved = new Map<number, string>();
   #lastSentAtMs = -Infinity;
   #lastRefreshedAtMs = -Infinity;
 
@@ -220,7 +229,7 @@
   /** Hands over all partitions before this instance shuts down. */
   async leave(): Promise<void> {
     await this.#assignment.leave();
-    await this.#transferKeepers();
+    await this.#transferUnassignedPartitions();
   }
 
   /** Stops all keepers and notifies other instances, since the process ends. */
@@ -240,7 +249,7 @@
       for (const [part, sinceMs] of this.#assignment.listAssigned()) {
         void this.#claimIfDue(part, sinceMs);
       }
-      void this.#transferKeepers();
+      void this.#transferUnassignedPartitions();
       await sleepUntilTick(this.#options.clock, TICK_MS, signal);
     }
     this.stop();
@@ -281,15 +290,15 @@
         this.#exchange.sendPledgeRequests(
           part,
           keeper.term,
-          this.#listWitnesses(part),
+          this.#listPledgeWitnesses(part),
         );
       }
-      const awaited = this.#predecessors.get(part)!.describeAwaited();
-      if (awaited.some(({ kind }) => kind === "unknown")) {
+      const unresolved = this.#predecessors.get(part)!.describeUnresolved();
+      if (unresolved.some(({ kind }) => kind === "unknown")) {
         this.#readMembers();
       }
-      this.#reportAwaited(part, awaited);
-      for (const { instance } of awaited) {
+      this.#reportUnresolved(part, unresolved);
+      for (const { instance } of unresolved) {
         this.#exchange.sendReplaced(instance, part, keeper.term);
       }
     }
@@ -311,26 +320,35 @@
    * Reports the predecessors that a keeper of this instance waits for, if they
    * have changed.
    */
-  #reportAwaited(part: number, awaited: readonly AwaitedPredecessor[]): void {
-    const description = awaited.map(({ incarnation, kind }) =>
+  #reportUnresolved(
+    part: number,
+    unresolved: readonly UnresolvedPredecessor[],
+  ): void {
+    const description = unresolved.map(({ incarnation, kind }) =>
       `${incarnation} ${kind}`
     )
       .join();
-    if (description !== (this.#reportedAwaited.get(part) ?? "")) {
-      this.#reportedAwaited.set(part, description);
-      this.#options.observe({ kind: "waits", part, awaited });
+    if (description !== (this.#reportedUnresolved.get(part) ?? "")) {
+      this.#reportedUnresolved.set(part, description);
+      this.#options.observe({ kind: "waits", part, awaited: unresolved });
     }
   }
 
-  /** All live instances, and all that a record may name as witnesses. */
-  #listWitnesses(part: number): readonly string[] {
+  /**
+   * The instances whose pledges a keeper needs: all live heartbeat senders, and
+   * all that its records may name as witnesses.
+   */
+  #listPledgeWitnesses(part: number): readonly string[] {
     const namedWitnesses = this.#keepers.get(part)?.listNamedWitnesses() ?? [];
     return [
-      ...new Set([...this.#listAlive(), ...namedWitnesses.map(parseInstance)]),
+      ...new Set([
+        ...this.#listHeartbeatSenders(),
+        ...namedWitnesses.map(parseInstance),
+      ]),
     ];
   }
 
-  #listAlive(): readonly string[] {
+  #listHeartbeatSenders(): readonly string[] {
     return this.#options.listAlive().map(({ instance }) => instance);
   }
 
@@ -349,18 +367,18 @@
   }
 
   /** Hands over the partitions that are no longer assigned to this instance. */
-  async #transferKeepers(): Promise<void> {
+  async #transferUnassignedPartitions(): Promise<void> {
     const handovers: Promise<void>[] = [];
     for (const [part, keeper] of this.#keepers) {
       if (!this.#assignment.has(part)) {
         this.#keepers.delete(part);
-        handovers.push(this.#transferKeeper(part, keeper));
+        handovers.push(this.#transferPartition(part, keeper));
       }
     }
     await Promise.all(handovers);
   }
 
-  async #transferKeeper(part: number, keeper: KeyKeeper): Promise<void> {
+  async #transferPartition(part: number, keeper: KeyKeeper): Promise<void> {
     await keeper.leave();
     this.#sendStopped(part, keeper);
   }
@@ -369,7 +387,7 @@
    * The next claimant may have no other way to learn when this keeper stopped.
    */
   #sendStopped(part: number, keeper: KeyKeeper): void {
-    this.#exchange.sendStopped(part, keeper, this.#listAlive());
+    this.#exchange.sendStopped(part, keeper, this.#listHeartbeatSenders());
   }
 
   async #claimIfDue(part: number, sinceMs: number): Promise<void> {
@@ -394,7 +412,8 @@
   }
 
   /**
-   * Whether the keeper has lost the store: it cannot write a resignation then.
+   * Whether the keeper has asked for a pledge recently, which means that it cannot
+   * reach the store and so will write no resignation.
    */
   #isKeeperWithoutStore(part: number): boolean {
     const requestedAtMs = this.#exchange.getPledgeRequestedAtMs(part);
@@ -456,9 +475,9 @@
     state: PartitionState,
   ): PredecessorTracker {
     const { clock, timing, claim, hasInstanceEnded } = this.#options;
-    const peers = this.#exchange;
+    const exchange = this.#exchange;
     return new PredecessorTracker(
-      { clock, timing, claim, exchange: peers, hasInstanceEnded },
+      { clock, timing, claim, exchange, hasInstanceEnded },
       part,
       state,
     );
@@ -501,7 +520,7 @@
         this.#options.listAlive().map(formatIncarnation).toSorted(),
       listUnresolved: () => predecessors.listUnresolved(),
       hasPledges: () =>
-        this.#exchange.hasPledges(part, this.#listWitnesses(part)),
+        this.#exchange.hasPledges(part, this.#listPledgeWitnesses(part)),
       getConfirmedAtMs: () => view.storeConfirmedAtMs,
       getTrustedSinceMs: this.#options.getTrustedSinceMs,
       observe: (event) =>
@@ -517,6 +536,10 @@
     void keeper.run();
   }
 
+  /**
+   * Whether another process's claim may still be in force. A record that cannot be
+   * read counts as such a claim.
+   */
   #hasActiveClaim(view: PartitionView): boolean {
     const { claim: own, hasInstanceEnded } = this.#options;
     const record = view.getRecord(KEEPER_KEY);
--- a/packages/gateway/src/keeper/keeper_simulation.ts
+++ b/packages/gateway/src/keeper/keeper_simulation.ts
@@ -141,7 +141,10 @@
     }
   }
 
-  /** Ends the target's process; another target is seen at its address. */
+  /**
+   * Ends the target's process. All instances know at once that it has ended, as
+   * if another target had been seen at its address.
+   */
   killTarget(id: string): void {
     this.holders.kill(id);
     this.#endedTargets.add(id);
--- a/packages/gateway/src/keeper/key_traffic.ts
+++ b/packages/gateway/src/keeper/key_traffic.ts
@@ -38,11 +38,13 @@
  */
 const SERVICE_TIMES_PER_REPORT = 10;
 /**
- * Weight of a new report in the moving average of a service time. A dozen
- * instances report twice in 4 s, so several reports even out a sample.
+ * Weight of a new report in the moving average of a service time. Service times
+ * are reported in rotation, so with 100 targets, each of a dozen instances reports
+ * one target about twice in 4 s. Averaging over several reports evens out single
+ * measurements.
  */
 const REPORT_WEIGHT = 0.3;
-/** Service time before the first measurement; about that of a lookup. */
+/** Service time before the first measurement; about that of a read request. */
 const DEFAULT_SERVICE_MS = 100;
 
 export class KeyTraffic {
@@ -51,7 +53,7 @@
   readonly #keyLoads = new Map<string, KeyLoad>();
   readonly #serviceMs = new Map<string, number>();
   /** Index of the next service time to report, by service. */
-  readonly #nextServiceTime = new Map<string, number>();
+  readonly #nextServiceTimeIndex = new Map<string, number>();
 
   constructor(options: KeyTrafficOptions) {
     this.#options = options;
@@ -64,7 +66,7 @@
     const { table } = this.#options.catalogue;
     for (const { service } of route.parts) {
       if (table?.services.get(service)?.keyed === true) {
-        this.#requestedKeys.observe(service, key);
+        this.#requestedKeys.record(service, key);
       }
     }
   }
@@ -142,10 +144,13 @@
     const serviceTimes = Object.entries(
       this.#options.services.listServiceMs(service),
     );
-    const first = this.#nextServiceTime.get(service) ?? 0;
+    const first = this.#nextServiceTimeIndex.get(service) ?? 0;
     const next = serviceTimes.slice(first, first + SERVICE_TIMES_PER_REPORT);
     const end = first + SERVICE_TIMES_PER_REPORT;
-    this.#nextServiceTime.set(service, end >= serviceTimes.length ? 0 : end);
+    this.#nextServiceTimeIndex.set(
+      service,
+      end >= serviceTimes.length ? 0 : end,
+    );
     return Object.fromEntries(next);
   }
 
--- a/packages/gateway/src/keeper/partition_assignment.ts
+++ b/packages/gateway/src/keeper/partition_assignment.ts
@@ -50,9 +50,14 @@
 
 export class PartitionAssignment {
   readonly #options: PartitionAssignmentOptions;
-  readonly #assignedAt = new Map<number, number>();
+  /** When this instance learned of the assignment of each partition; own clock. */
+  readonly #assignedAtMs = new Map<number, number>();
   readonly #ttlMs: number;
   #lastJoinedAtMs = -Infinity;
+  /**
+   * Generation of the group's assignment, as the store last returned it; 0 before
+   * this instance has joined the group and after it has left.
+   */
   #generation = 0;
   #isLeaving = false;
   #isStopped = false;
@@ -82,22 +87,22 @@
   }
 
   has(part: number): boolean {
-    return this.#assignedAt.has(part);
+    return this.#assignedAtMs.has(part);
   }
 
   /** The assigned partitions, each with the time since when it is assigned. */
   listAssigned(): ReadonlyMap<number, number> {
-    return this.#assignedAt;
+    return this.#assignedAtMs;
   }
 
   /** Joins while this instance is a candidate, until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, isCandidate } = this.#options;
-    let candidateAtMs = -Infinity;
+    let lastCandidateAtMs = -Infinity;
     while (!signal.aborted && !this.#isLeaving) {
       const nowMs = clock.readMs();
-      candidateAtMs = isCandidate() ? nowMs : candidateAtMs;
-      if (nowMs - candidateAtMs < LEAVE_DELAY_MS) {
+      lastCandidateAtMs = isCandidate() ? nowMs : lastCandidateAtMs;
+      if (nowMs - lastCandidateAtMs < LEAVE_DELAY_MS) {
         await this.#join();
         await clock.sleep(this.#ttlMs / JOINS_PER_TTL, signal);
         continue;
@@ -114,14 +119,14 @@
    * answers or the process ends: nothing can be handed over without the store,
    * so this instance's keepers keep acting meanwhile. If they stopped at once
    * during an outage of the store, every key would be unserved from 3 s later
-   * until the outage is over (all lookups failed for 4 s).
+   * until the outage is over (all idempotent requests failed for 4 s).
    */
   async leave(): Promise<void> {
     this.#isLeaving = true;
     while (!this.#isStopped && !await this.#leaveOnce()) {
       await this.#options.clock.sleep(LEAVE_RETRY_MS);
     }
-    this.#assignedAt.clear();
+    this.#assignedAtMs.clear();
   }
 
   /** Stops the attempts to leave, since the process ends. */
@@ -133,7 +138,7 @@
   async #leaveGroup(): Promise<void> {
     if (await this.#leaveOnce()) {
       this.#generation = 0;
-      this.#assignedAt.clear();
+      this.#assignedAtMs.clear();
       this.#options.observe({ kind: "share", generation: 0, parts: [] });
     }
   }
@@ -174,14 +179,14 @@
   }
 
   #setAssigned(parts: readonly number[], nowMs: number): void {
-    for (const part of [...this.#assignedAt.keys()]) {
+    for (const part of [...this.#assignedAtMs.keys()]) {
       if (!parts.includes(part)) {
-        this.#assignedAt.delete(part);
+        this.#assignedAtMs.delete(part);
       }
     }
     for (const part of parts) {
-      if (!this.#assignedAt.has(part)) {
-        this.#assignedAt.set(part, nowMs);
+      if (!this.#assignedAtMs.has(part)) {
+        this.#assignedAtMs.set(part, nowMs);
       }
     }
   }
--- a/packages/gateway/src/keeper/predecessor_tracker.ts
+++ b/packages/gateway/src/keeper/predecessor_tracker.ts
@@ -31,8 +31,8 @@
   endedSeenAtMs: number | undefined;
 }
 
-/** A predecessor whose grants may still be in force. */
-export interface AwaitedPredecessor {
+/** A predecessor that may have sent orders whose holds are still in force. */
+export interface UnresolvedPredecessor {
   readonly instance: string;
   readonly incarnation: string;
   readonly term: number;
@@ -77,14 +77,19 @@
     }));
   }
 
-  /** The predecessors whose grants may still be in force. */
+  /**
+   * The predecessors that may have sent orders whose holds are still in force, as
+   * records name them.
+   */
   listUnresolved(): readonly UnresolvedKeeper[] {
-    return this.#listAwaited().map(({ keeper }) => toUnresolved(keeper));
+    return this.#listUnresolvedStates().map(({ keeper }) =>
+      toUnresolved(keeper)
+    );
   }
 
-  /** The same predecessors, each with its state and the time left to wait. */
-  describeAwaited(): readonly AwaitedPredecessor[] {
-    return this.#listAwaited().map(({ keeper, kind, leftMs }) => {
+  /** The unresolved predecessors, each with its state and the time left to wait. */
+  describeUnresolved(): readonly UnresolvedPredecessor[] {
+    return this.#listUnresolvedStates().map(({ keeper, kind, leftMs }) => {
       const { instance, incarnation, term } = keeper;
       return { instance, incarnation, term, kind, leftMs: Math.round(leftMs) };
     });
@@ -95,14 +100,19 @@
     return this.#predecessors.map(toUnresolved);
   }
 
-  /** The worst state and the latest possible order of all predecessors. */
+  /**
+   * Combines the states of all predecessors: the kind that is least certain to
+   * have stopped, and the latest time at which any of them may have sent an order
+   * to a target.
+   */
   computeState(): PredecessorState {
     const states = this.#predecessors.map((keeper) =>
       this.#computeKeeperState(keeper)
     );
     const kinds = states.map(({ kind }) => kind);
     return {
-      kind: KINDS_WORST_FIRST.find((kind) => kinds.includes(kind)) ?? "none",
+      kind: KINDS_LEAST_CERTAIN_FIRST.find((kind) => kinds.includes(kind)) ??
+        "none",
       lastOrderAtMs: Math.max(
         -Infinity,
         ...states.map(({ lastOrderAtMs }) => lastOrderAtMs),
@@ -110,7 +120,7 @@
     };
   }
 
-  #listAwaited() {
+  #listUnresolvedStates() {
     const { clock, timing } = this.#options;
     const nowMs = clock.readMs();
     return this.#predecessors.map((keeper) => {
@@ -152,12 +162,12 @@
   }
 
   #computeKeeperState(keeper: TrackedPredecessor): PredecessorState {
-    const { clock, exchange: peers } = this.#options;
+    const { clock, exchange } = this.#options;
     if (keeper.resigned) {
       return { kind: "resigned", lastOrderAtMs: keeper.claimedAtMs };
     }
     const latestMs = this.#computeLatestOrderMs(keeper);
-    const stopNotice = peers.findStopNotice(this.#part, keeper);
+    const stopNotice = exchange.findStopNotice(this.#part, keeper);
     if (stopNotice !== undefined) {
       const kind = stopNotice.isClean ? "resigned" : "ended";
       return { kind, lastOrderAtMs: Math.min(latestMs, stopNotice.atMs) };
@@ -175,21 +185,27 @@
 
   /**
    * Latest time at which a keeper that has sent no stop notice may have acted.
+   *
+   * A keeper that names this instance as a witness needs its pledge to act for
+   * longer than `authorityMs`, so the last pledge that this instance gave is the
+   * bound. A keeper that does not name this instance may act for up to
+   * `maxAuthorityMs`.
    */
   #computeLatestOrderMs(
     { claimedAtMs, witnesses }: TrackedPredecessor,
   ): number {
-    const { timing, claim, exchange: peers } = this.#options;
+    const { timing, claim, exchange } = this.#options;
     return witnesses.includes(formatIncarnation(claim))
       ? Math.max(
         claimedAtMs + timing.authorityMs,
-        peers.getPledgedUntilMs(this.#part),
+        exchange.getPledgedUntilMs(this.#part),
       )
       : claimedAtMs + timing.maxAuthorityMs;
   }
 }
 
-const KINDS_WORST_FIRST = ["unknown", "ended", "resigned"] as const;
+/** From least to most certain that the keeper has stopped. */
+const KINDS_LEAST_CERTAIN_FIRST = ["unknown", "ended", "resigned"] as const;
 
 function toUnresolved(
   { instance, incarnation, term, witnesses }: UnresolvedKeeper,
--- a/packages/gateway/src/keeper/requested_keys.ts
+++ b/packages/gateway/src/keeper/requested_keys.ts
@@ -12,7 +12,8 @@
 export class RequestedKeys {
   readonly #keys = new Map<string, number[]>();
 
-  observe(service: string, key: number): void {
+  /** Records one request for a key. */
+  record(service: string, key: number): void {
     const keys = this.#keys.get(service);
     if (keys === undefined) {
       this.#keys.set(service, [key]);
--- a/packages/gateway/src/keeper/suspension_detector.ts
+++ b/packages/gateway/src/keeper/suspension_detector.ts
@@ -5,8 +5,9 @@
  * While a machine is suspended, the steady clock stops and the time of day goes
  * on. So a jump of the time of day against the steady clock is either a step of
  * the clock or a suspension. The jump is never used to measure time; it only
- * invalidates earlier confirmations. The check runs before each action, since a
- * timer may fire after the action that it should have prevented.
+ * invalidates earlier reads of the store as proof that there is no newer claim.
+ * The check runs before each action, since a timer may fire after the action that
+ * it should have prevented.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 
@@ -33,7 +34,10 @@
     this.#differenceMs = options.readWallMs() - clock.readMs();
   }
 
-  /** Returns the time before which confirmations do not count; own clock. */
+  /**
+   * Returns the time of the last suspected suspension, before which reads of the
+   * store prove nothing; own clock.
+   */
   checkTrustedSinceMs(): number {
     const differenceMs = this.#readWallMs() - this.#clock.readMs();
     const jumpMs = differenceMs - this.#differenceMs;
--- a/packages/gateway/src/requests/cold_targets_test.ts
+++ b/packages/gateway/src/requests/cold_targets_test.ts
@@ -125,7 +125,7 @@
   const cutOff = new Set(
     TWELVE_INSTANCES.filter((_, index) => index % 2 === 0),
   );
-  simulation.isReachable = (from, to) =>
+  simulation.isPermitRequestDelivered = (from, to) =>
     to !== coordinator || !cutOff.has(from);
   await sendLoad(simulation, { forMs: COLD_MS });
   assertWithinLimit(simulation);
--- a/packages/gateway/src/requests/evacuation_test.ts
+++ b/packages/gateway/src/requests/evacuation_test.ts
@@ -19,8 +19,11 @@
   });
 }
 
-/** Sends requests for evenly spread keys through all instances. */
-async function sendLoad(simulation: RequestSimulation, forMs: number) {
+/**
+ * Sends requests through all instances in turn, with keys in a fixed order that
+ * spreads them evenly and with a deadline longer than the evacuation.
+ */
+async function sendSteadyLoad(simulation: RequestSimulation, forMs: number) {
   const counts = { answered: 0, failed: 0 };
   const startedAtMs = simulation.clock.readMs();
   for (
@@ -55,12 +58,12 @@
   const kind = keyed ? "own keys" : "own no keys";
   test(`evacuated targets that ${kind} receive no requests`, async () => {
     const simulation = createSimulation(keyed);
-    await sendLoad(simulation, 1_000);
+    await sendSteadyLoad(simulation, 1_000);
     const orderedMs = simulation.clock.readMs();
     simulation.setEvacuated("kirkos", true);
-    await sendLoad(simulation, 500);
+    await sendSteadyLoad(simulation, 500);
     simulation.assignKeysTo(["bole", "yeka"]);
-    const { answered, failed } = await sendLoad(simulation, 6_000);
+    const { answered, failed } = await sendSteadyLoad(simulation, 6_000);
     assert.equal(
       countArrivals(simulation, "kirkos", orderedMs + EVACUATION_MS),
       0,
@@ -72,12 +75,12 @@
     const simulation = createSimulation(keyed);
     simulation.setEvacuated("kirkos", true);
     simulation.assignKeysTo(["bole", "yeka"]);
-    await sendLoad(simulation, 1_000);
+    await sendSteadyLoad(simulation, 1_000);
     simulation.setEvacuated("kirkos", false);
     simulation.assignKeysTo(DATA_CENTRES);
-    await sendLoad(simulation, PRESUMED_COLD_MS);
+    await sendSteadyLoad(simulation, PRESUMED_COLD_MS);
     const warmMs = simulation.clock.readMs();
-    await sendLoad(simulation, 1_000);
+    await sendSteadyLoad(simulation, 1_000);
     assert.ok(countArrivals(simulation, "kirkos", warmMs) > 10);
   });
 }
@@ -86,7 +89,7 @@
   const simulation = createSimulation(true);
   simulation.setEvacuated("kirkos", true);
   const orderedMs = simulation.clock.readMs();
-  await sendLoad(simulation, 8_000);
+  await sendSteadyLoad(simulation, 8_000);
   assert.equal(
     countArrivals(simulation, "kirkos", orderedMs + EVACUATION_MS),
     0,
--- a/packages/gateway/src/requests/outcome_handler.ts
+++ b/packages/gateway/src/requests/outcome_handler.ts
@@ -73,9 +73,10 @@
     if (outcome.cause !== "not-owner") {
       context.excludedTargets.add(target.id);
     }
-    // A request that could not be sent adds no load, so it needs no retry budget.
+    // A request that could not be sent adds no load, so it needs no retry budget. It
+    // still counts towards the route's `maxAttempts`.
     if (!isUnreachable && !this.claimRetry(context)) {
-      return { kind: "done", response: this.createUnservedResponse(context) };
+      return { kind: "done", response: this.createFinalFailure(context) };
     }
     const pauseMs = outcome.cause === "not-owner" ? NOT_OWNER_PAUSE_MS : 0;
     return { kind: "again", pauseMs };
@@ -122,7 +123,7 @@
     switch (decision.reason) {
       case "no-target":
         return context.excludedTargets.size > 0
-          ? this.createUnservedResponse(context)
+          ? this.createFinalFailure(context)
           : createFailure(
             "no-target",
             this.#describeNoTarget(context.service),
@@ -169,7 +170,7 @@
   createTrialResponse(context: RequestContext): FinalResponse {
     return context.mayHaveRun
       ? createFailure("answer-lost", "The answer was lost again")
-      : this.createUnservedResponse(context);
+      : this.createFinalFailure(context);
   }
 
   /** Excludes a target at its rate limit, or fails the request if it owns the key. */
@@ -185,14 +186,17 @@
       retryAfterMs,
     });
     if (isOwner) {
-      return { kind: "done", response: this.createUnservedResponse(context) };
+      return { kind: "done", response: this.createFinalFailure(context) };
     }
     context.excludedTargets.add(target.id);
     return { kind: "again", pauseMs: 0 };
   }
 
-  /** Creates the final response of a request that is not sent again. */
-  createUnservedResponse(context: RequestContext): FinalResponse {
+  /**
+   * Creates the failure of a request that is not sent again: its last refusal, or
+   * `answer-late` if a target may have run it.
+   */
+  createFinalFailure(context: RequestContext): FinalResponse {
     if (context.mayHaveRun) {
       return createFailure("answer-late", "No answer came in time");
     }
--- a/packages/gateway/src/requests/owner_finder.ts
+++ b/packages/gateway/src/requests/owner_finder.ts
@@ -10,7 +10,9 @@
     readonly kind: "found";
     /** Undefined if any target of the service may run the request. */
     readonly targetId: string | undefined;
+    /** Fencing token of the owner's grant. */
     readonly token?: number;
+    /** Offset of the ownership record that names the owner. */
     readonly ownersOffset?: number;
   }
   | {
@@ -24,8 +26,8 @@
 
 /**
  * A move that takes longer waits for an unreachable holder, which takes
- * seconds. Load pattern: a third of the targets fail at once, and every lookup
- * of their keys would wait 0.3 s, be refused, retry and wait again.
+ * seconds. Failure case: a third of the targets fail at once, and every request
+ * for one of their keys would wait 0.3 s, be refused, be retried and wait again.
  */
 const LONG_MOVE_MS = 400;
 /** About the longest delay after which a retry is still answered in time. */
--- a/packages/gateway/src/requests/request_context.ts
+++ b/packages/gateway/src/requests/request_context.ts
@@ -13,6 +13,10 @@
   /** The key that the request is for, if its service is keyed. */
   readonly key: number | undefined;
   readonly admission: Admission;
+  /**
+   * When the request must be answered: the caller's deadline or the route's
+   * timeout, whichever is earlier.
+   */
   readonly deadlineAtMs: number;
   readonly excludedTargets: Set<string>;
   /** Number of sends, including those that could not connect. */
--- a/packages/gateway/src/requests/request_fingerprint.ts
+++ b/packages/gateway/src/requests/request_fingerprint.ts
@@ -1,4 +1,7 @@
-/** Recognizes the attempts of one request, which have different request ids. */
+/**
+ * Computes a fingerprint that is the same for a caller's request and its
+ * retries, which have different request ids.
+ */
 import { hash } from "node:crypto";
 import type { Route } from "@lentilspur/ports/routing_table";
 import type { CallerRequest } from "../entry/caller_request.ts";
@@ -10,7 +13,7 @@
  * Returns the same value for requests of one caller with the same method, path,
  * key and body. The host counts only if the route matches by host; otherwise it
  * may be the address of any instance. Other headers do not count, since many of
- * them differ with each attempt.
+ * them differ with each retry.
  */
 export function computeFingerprint(
   request: CallerRequest,
--- a/packages/gateway/src/requests/request_quarantine.ts
+++ b/packages/gateway/src/requests/request_quarantine.ts
@@ -176,6 +176,11 @@
     }
   }
 
+  /**
+   * Applies the reports of a message. If the message came from another data
+   * centre and this instance is the local reader, it forwards the reports that
+   * added something within its data centre.
+   */
   apply(message: SuspectsMessage): void {
     const { clock, duties, send } = this.#options;
     const nowMs = clock.readMs();
--- a/packages/gateway/src/requests/request_quarantine_test.ts
+++ b/packages/gateway/src/requests/request_quarantine_test.ts
@@ -141,7 +141,7 @@
   assert.equal(trials.length, 1);
 });
 
-test("a lookup that runs during most crashes is not quarantined", async () => {
+test("a harmless request that runs during most crashes is not quarantined", async () => {
   const simulation = createSimulation(false);
   const fatal = sendRepeatedly(simulation, { everyMs: 1_100, count: 8 });
   const responses = await sendHarmless(simulation, {
--- a/packages/gateway/src/requests/request_reporter.ts
+++ b/packages/gateway/src/requests/request_reporter.ts
@@ -10,6 +10,7 @@
   | {
     readonly kind: "send";
     readonly requestId: string;
+    /** Number of this send among the sends of the request, from 1. */
     readonly attempt: number;
     readonly route: string;
     readonly service: string;
@@ -17,7 +18,9 @@
     readonly idempotent: boolean;
     readonly configurationVersion: number;
     readonly key?: number;
+    /** Fencing token of the owner's grant. */
     readonly token?: number;
+    /** Offset of the ownership record that names the owner. */
     readonly ownersOffset?: number;
     readonly occupancy: number;
     readonly waitedMs: number;
@@ -28,7 +31,7 @@
     readonly tookMs: number;
     /** Requests per second that the target accepts from all instances together. */
     readonly limitPerSecond?: number;
-    /** Same for every attempt of the request; given if the outcome is unknown. */
+    /** Same for all retries by the caller; given if the outcome is unknown. */
     readonly fingerprint?: string;
   }
   | {
--- a/packages/gateway/src/requests/request_router.ts
+++ b/packages/gateway/src/requests/request_router.ts
@@ -68,9 +68,12 @@
  * no owner for seconds.
  */
 const MAX_OWNER_WAIT_MS = 300;
-/** Interval at which a key without a usable owner is looked up again. */
+/** Interval at which a key's owner is looked up again while none is usable. */
 const OWNER_POLL_INTERVAL_MS = 20;
-/** A move that takes longer may be over, with the notice of it lost. */
+/**
+ * Usual duration of a key's move. After this, the owners are read again, since
+ * the move may be over and its notice lost.
+ */
 const TYPICAL_MOVE_MS = 200;
 /**
  * A response that takes this many times the expected time counts as lost if the
@@ -220,7 +223,7 @@
     }
     const nowMs = this.#options.clock.readMs();
     return nowMs >= context.deadlineAtMs
-      ? this.#outcomes.createUnservedResponse(context)
+      ? this.#outcomes.createFinalFailure(context)
       : undefined;
   }
 
@@ -307,7 +310,7 @@
       ? { kind: "again", pauseMs: OWNER_POLL_INTERVAL_MS }
       : {
         kind: "done",
-        response: this.#outcomes.createUnservedResponse(context),
+        response: this.#outcomes.createFinalFailure(context),
       };
   }
 
@@ -411,9 +414,9 @@
 
   /**
    * Aborts a send whose response is overdue, if the request may be sent again and
-   * the retry budget allows it at that moment; otherwise the send goes on. Load
-   * pattern: targets lose 3% to 40% of their responses, and a lookup whose response
-   * is lost would keep its caller waiting until the deadline.
+   * the retry budget allows it at that moment; otherwise the send goes on. Failure
+   * case: targets lose 3% to 40% of their responses, and the caller of an idempotent
+   * request whose response is lost would wait until the deadline.
    */
   #watchResponse(
     context: RequestContext,
--- a/packages/gateway/src/requests/request_router_test.ts
+++ b/packages/gateway/src/requests/request_router_test.ts
@@ -244,9 +244,10 @@
     : String(response?.kind);
 }
 
-test("a deposit is not sent again when its connection breaks", async () => {
-  // A target may run a deposit and crash before it answers. A second send would
-  // charge the deposit twice, so the caller receives an unknown outcome.
+test("a request that is not idempotent is not sent again when its connection breaks", async () => {
+  // A target may run the request, such as a deposit, and crash before it answers. A
+  // second send would charge the deposit twice, so the caller receives an unknown
+  // outcome.
   const fixture = new RouterFixture(() => RESET);
   fixture.setRoute({ idempotent: false });
   const response = await fixture.send();
@@ -254,7 +255,7 @@
   assert.equal(getFailure(response), "answer-lost");
 });
 
-test("a lookup is sent to another target when its connection breaks", async () => {
+test("an idempotent request is sent to another target when its connection breaks", async () => {
   const fixture = new RouterFixture((_request, attempt) =>
     attempt === 1 ? RESET : RESPONSE
   );
@@ -263,7 +264,7 @@
   assert.notEqual(fixture.sent[0]!.targetId, fixture.sent[1]!.targetId);
 });
 
-test("a request that targets refuse is sent as often as the route allows", async () => {
+test("a refused request is sent at most `maxAttempts` times", async () => {
   const fixture = new RouterFixture(() => FULL);
   fixture.setRoute({ idempotent: false, maxAttempts: 2 });
   const response = await fixture.send();
@@ -272,8 +273,8 @@
 });
 
 test("a refusal after a lost response does not report the request as not run", async () => {
-  // The first response to a lookup is lost, and the other target refuses it. A 503
-  // would promise that the lookup has not run.
+  // The first response is lost, and the other target refuses the request. A 503 would
+  // promise that the request has not run.
   const fixture = new RouterFixture((_request, attempt) =>
     attempt === 1 ? RESET : FULL
   );
@@ -281,7 +282,7 @@
   assert.equal(getFailure(await fixture.send()), "answer-late");
 });
 
-test("a target that accepts no connections does not use up the attempts", async () => {
+test("a request that could not connect is sent to another target even if no attempt is left", async () => {
   const fixture = new RouterFixture((request) =>
     request.targetId === "a" ? NO_CONNECTION : RESPONSE
   );
@@ -289,7 +290,7 @@
   assert.equal((await fixture.send())?.kind, "answered");
 });
 
-test("a lookup whose response is overdue is sent again, but not during a shutdown", async () => {
+test("an idempotent request whose response is overdue is sent again, but not during a shutdown", async () => {
   // Targets lose some of their responses, and without a retry the caller would wait
   // until its deadline. An instance that shuts down must not abort a send that a
   // target is working on, since it may have no time left for another one.
--- a/packages/gateway/src/requests/request_simulation.ts
+++ b/packages/gateway/src/requests/request_simulation.ts
@@ -92,8 +92,8 @@
   readonly events: QuarantineEvent[] = [];
   /** Instances that no datagram leaves or reaches. */
   readonly disconnected = new Set<string>();
-  /** Whether permit requests of one instance reach another. */
-  isReachable = (_from: string, _to: string): boolean => true;
+  /** Whether permit requests from one instance to another are delivered. */
+  isPermitRequestDelivered = (_from: string, _to: string): boolean => true;
   readonly #options: RequestSimulationOptions;
   readonly #random = new SeededRandom(1);
   readonly #instances = new Map<string, SimulatedInstance>();
@@ -245,7 +245,7 @@
 
   #createCatalogue(name: string): Catalogue {
     const catalogue = new Catalogue({
-      decodeConfiguration: () => Ok(this.#createTable()),
+      decodeConfiguration: () => Ok(this.#createRoutingTable()),
       decodeTarget: (id, text) => Ok({ id, ...JSON.parse(text) }),
       observe: (event) =>
         this.#instances.get(name)?.quarantine.handleCatalogueEvent(event),
@@ -316,7 +316,7 @@
       !this.disconnected.has(instance) &&
       !this.disconnected.has(message.from) &&
       (message.kind !== "quota-request" ||
-        this.isReachable(message.from, instance))
+        this.isPermitRequestDelivered(message.from, instance))
     );
     await this.clock.sleep(DATAGRAM_DELAY_MS);
     for (const { instance } of receivers) {
@@ -435,7 +435,7 @@
     }
   }
 
-  #createTable(): RoutingTable {
+  #createRoutingTable(): RoutingTable {
     const { keyed, route, coldPerSecond } = this.#options;
     return {
       version: 1,
--- a/packages/gateway/src/requests/send_abort_controller.ts
+++ b/packages/gateway/src/requests/send_abort_controller.ts
@@ -27,6 +27,7 @@
     return this.#isOverdue;
   }
 
+  /** Aborts the send because its response is overdue, unless it has ended. */
   cancelOverdue(): void {
     if (!this.#hasEnded) {
       this.#isOverdue = true;
@@ -34,7 +35,10 @@
     }
   }
 
-  /** Releases the caller's signal and the timer when the send has ended. */
+  /**
+   * Called when the send has ended. Removes the listener from the caller's
+   * signal, and aborts this signal to end the overdue timer that waits on it.
+   */
   stop(): void {
     this.#hasEnded = true;
     this.#callerSignal.removeEventListener("abort", this.#cancel);
--- a/packages/gateway/src/requests/target_limits.ts
+++ b/packages/gateway/src/requests/target_limits.ts
@@ -41,9 +41,16 @@
 const TICK_MS = 1_000;
 /** A limit that no instance has reported for this long no longer applies. */
 const LIMIT_TTL_MS = 60_000;
-/** Reports of two instances on the same response differ by less than this. */
+/**
+ * Two reports of the same response, received over different paths, give times
+ * that differ by less than this. So a report must be newer by more than this to
+ * count as a new one.
+ */
 const SAME_RESPONSE_MS = 50;
-/** A response without a limit lifts the limit if none has named it for this long. */
+/**
+ * A response without a limit lifts the limit only if its request was sent more
+ * than this long after the limit was last named.
+ */
 const LIFT_DELAY_MS = 1_500;
 /** A limit that changes by a smaller share is not reported at once. */
 const MIN_CHANGE_SHARE = 0.1;
@@ -92,6 +99,11 @@
     }
   }
 
+  /**
+   * Applies the reports of a message. If the message came from another data
+   * centre and this instance is the local reader, it forwards the reports that
+   * changed a limit within its data centre.
+   */
   apply(message: LimitsMessage): void {
     const { duties, send } = this.#options;
     const changes = message.limits.filter((report) => this.merge(report));
@@ -113,7 +125,7 @@
   }
 
   /** Creates the report of a limit for other instances. */
-  describe(incarnation: string): LimitReport | undefined {
+  createReport(incarnation: string): LimitReport | undefined {
     const known = this.#limits.get(incarnation);
     if (known === undefined) {
       return undefined;
@@ -196,7 +208,7 @@
   ): void {
     const { instance: from, dataCentre, send } = this.#options;
     const reports = incarnations.map((incarnation) =>
-      this.describe(incarnation)
+      this.createReport(incarnation)
     )
       .filter((report) => report !== undefined);
     for (const limits of splitReports(reports, REPORTS_PER_MESSAGE)) {
--- a/packages/gateway/src/requests/target_limits_test.ts
+++ b/packages/gateway/src/requests/target_limits_test.ts
@@ -68,7 +68,7 @@
   });
 }
 
-test("a limit is used, and requests beyond it are refused at once", async () => {
+test("a target receives most of the requests that its limit allows, and the others are refused at once", async () => {
   const { simulation } = await createLimitedSimulation();
   const fromMs = simulation.clock.readMs();
   const refusalTimesMs: number[] = [];
@@ -89,7 +89,7 @@
     .filter(({ targetId, atMs }) => targetId === "t1" && atMs >= fromMs);
   assert.ok(
     arrived.length >= 0.8 * LIMIT_PER_SECOND * 10,
-    "unused",
+    `only ${arrived.length} requests arrived`,
   );
   assert.ok(refusalTimesMs.length > 60);
   assert.ok(
@@ -128,7 +128,7 @@
   const cutOff = new Set(
     TWELVE_INSTANCES.filter((_, index) => index % 2 === 0),
   );
-  simulation.isReachable = (from, to) =>
+  simulation.isPermitRequestDelivered = (from, to) =>
     to !== coordinator || !cutOff.has(from);
   await sendLoad(simulation, { forMs: 10_000 });
   assertWithinLimit(simulation, limitNamedAtMs, perSecond);
--- a/packages/gateway/src/requests/target_rate_limiter.ts
+++ b/packages/gateway/src/requests/target_rate_limiter.ts
@@ -24,7 +24,9 @@
 import type { PeerOptions } from "../peers/peer_options.ts";
 import type { TargetLimits } from "./target_limits.ts";
 
+/** Requests a permit from a coordinator. */
 type QuotaRequest = PeerMessage & { readonly kind: "quota-request" };
+/** Answers a permit request. */
 type QuotaResponse = PeerMessage & { readonly kind: "quota" };
 
 export interface TargetRateLimiterOptions extends PeerOptions {
@@ -52,13 +54,16 @@
 const RESPONSE_TIMEOUT_MS = 80;
 /** Delay after which a caller may retry if no coordinator answers. */
 const NO_COORDINATOR_RETRY_MS = 300;
-/** A quota that was unused for this long equals a new one. */
+/**
+ * A pacer that has been unused for this long has the same state as a new one, so
+ * it can be removed.
+ */
 const UNUSED_PACER_TTL_MS = 10_000;
 const UNLIMITED: PermitDecision = { kind: "granted", waitMs: 0 };
 
 export class TargetRateLimiter {
   readonly #options: TargetRateLimiterOptions;
-  /** Quotas of the targets whose permits this instance has granted. */
+  /** Pacers of the targets for which this instance grants permits. */
   readonly #pacers = new Map<string, RequestPacer>();
   /** Until when no permit is available, as far as this instance knows. */
   readonly #unavailableUntilMs = new Map<string, number>();
@@ -108,11 +113,12 @@
     const incarnation = formatTargetIncarnation(target);
     const coldPerSecond = getColdPerSecond(target) ?? null;
     for (
-      const [rank, name] of duties.chooseCoordinators(incarnation).entries()
+      const [rank, coordinator] of duties.chooseCoordinators(incarnation)
+        .entries()
     ) {
       const share = rank === 0 ? 1 : FALLBACK_SHARE;
       const request = { life: incarnation, coldPerSecond, maxWaitMs, share };
-      const decision = await this.#fetchPermit(name, request);
+      const decision = await this.#fetchPermit(coordinator, request);
       if (decision !== undefined) {
         this.#recordDecision(incarnation, decision);
         return decision;
@@ -139,7 +145,7 @@
     this.#pendingRequests.get(number)?.(decision);
   }
 
-  /** Removes waits that are over and quotas that are unused. */
+  /** Removes waits that are over and pacers that are unused. */
   expire(): void {
     const nowMs = this.#options.clock.readMs();
     for (const [incarnation, untilMs] of this.#unavailableUntilMs) {
@@ -156,14 +162,14 @@
 
   /** Resolves to undefined if no response arrives in time. */
   #fetchPermit(
-    name: string,
+    coordinator: string,
     request: PermitRequest,
   ): Promise<PermitDecision | undefined> {
     const { instance: from, clock, limits, findMember, send } = this.#options;
-    if (name === from) {
+    if (coordinator === from) {
       return Promise.resolve(this.#decide(request));
     }
-    const member = findMember(name);
+    const member = findMember(coordinator);
     if (member === undefined) {
       return Promise.resolve(undefined);
     }
@@ -172,7 +178,7 @@
       kind: "quota-request",
       from,
       number,
-      limit: limits.describe(request.life) ?? null,
+      limit: limits.createReport(request.life) ?? null,
       ...request,
     };
     const timeout = new AbortController();
