--- a/packages/gateway/src/event_reporter.ts
+++ b/packages/gateway/src/event_reporter.ts
@@ -1,7 +1,7 @@
 /**
- * Turns the events of an instance's parts into log lines and metrics. Each line
- * carries what led to a decision and how old that information was, so that a
- * request's id leads to its cause.
+ * Turns the events of an instance's components into log lines and metrics. Each
+ * line carries what led to a decision and how old that information was, so that
+ * an operator can trace a request's outcome to its cause by the request id.
  */
 import type { ErrorKind } from "@lentilspur/outcomes/error_kinds";
 import type { CatalogueEvent } from "./views/catalogue_event.ts";
@@ -20,7 +20,7 @@
 export class EventReporter {
   readonly #logger: StructuredLogger;
   readonly #metrics: GatewayMetrics;
-  #hasReportedShareFailure = false;
+  #hasReportedAssignmentFailure = false;
 
   constructor(logger: StructuredLogger, metrics: GatewayMetrics) {
     this.#logger = logger;
@@ -76,10 +76,10 @@
         this.#observeKeeperEvent(event);
         return;
       case "share-failed":
-        this.#reportShareFailure(event.cause);
+        this.#reportAssignmentFailure(event.cause);
         return;
       case "share":
-        this.#hasReportedShareFailure = false;
+        this.#hasReportedAssignmentFailure = false;
         this.#log("keeper-share", event);
         return;
       case "claimed":
@@ -109,13 +109,15 @@
   }
 
   /**
-   * While the store is unavailable every join fails; only the first is logged.
+   * Reports that this instance could not join the group of keepers, which
+   * assigns partitions to it. While the store is unavailable, each attempt
+   * fails; only the first failure is logged.
    */
-  #reportShareFailure(cause: string): void {
-    if (!this.#hasReportedShareFailure) {
+  #reportAssignmentFailure(cause: string): void {
+    if (!this.#hasReportedAssignmentFailure) {
       this.#logger.log("keeper-share-failed", "notable", { cause });
     }
-    this.#hasReportedShareFailure = true;
+    this.#hasReportedAssignmentFailure = true;
   }
 
   #observeKeeperEvent(event: KeeperServiceEvent & { kind: "keeper" }): void {
--- a/packages/gateway/src/gateway_metrics.ts
+++ b/packages/gateway/src/gateway_metrics.ts
@@ -1,10 +1,7 @@
 /** Counters, gauges and latency histograms, served at the metrics address. */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/**
- * Covers the latency goals (150 to 600 ms) and the deadlines (1 to 6 s) of
- * today's routes.
- */
+/** Covers latency goals of 150 to 600 ms and deadlines of 1 to 6 s. */
 const LATENCY_BUCKETS_S = [
   0.01,
   0.025,
--- a/packages/gateway/src/gateway_settings.ts
+++ b/packages/gateway/src/gateway_settings.ts
@@ -9,6 +9,7 @@
   /** Address of the machine; all listeners bind to it. */
   readonly host: string;
   readonly requestPort: number;
+  /** Port of the status server, which serves readiness and `/status`. */
   readonly readyPort: number;
   readonly metricsPort: number;
   readonly peerPort: number;
@@ -27,7 +28,8 @@
   /** Time from the stop signal until the process is killed. */
   readonly gracePeriodMs: number;
   /**
-   * Shortest time after which the store may drop a member that does not join.
+   * Shortest time after which the store may drop an instance from the group of
+   * keepers if the instance does not renew its membership.
    */
   readonly minMemberTtlMs: number;
 }
@@ -43,6 +45,9 @@
   };
   readonly targets: { readonly topic: string; readonly part: number };
   readonly members: { readonly topic: string; readonly part: number };
-  /** The ownership table, divided into this many partitions. */
+  /**
+   * The ownership topic, which holds the ownership tables of all services and is
+   * divided into this many partitions.
+   */
   readonly owners: { readonly topic: string; readonly parts: number };
 }
--- a/packages/gateway/src/instance.ts
+++ b/packages/gateway/src/instance.ts
@@ -94,7 +94,7 @@
   readonly #peerTransport: PeerTransport;
   readonly #loads: LoadExchange;
   readonly #dispatcher: PeerDispatcher;
-  readonly #readyServer: MonitoringServer;
+  readonly #statusServer: MonitoringServer;
   readonly #metricsServer: MonitoringServer;
   readonly #keyTraffic: KeyTraffic;
   readonly #status: InstanceStatus;
@@ -168,7 +168,7 @@
       tables: this.#tables,
       reportFault: (message) => this.#reporter.reportFault(message),
     });
-    this.#readyServer = new MonitoringServer((path) =>
+    this.#statusServer = new MonitoringServer((path) =>
       this.#status.answer(path)
     );
     this.#metricsServer = new MonitoringServer(async () => ({
@@ -198,7 +198,7 @@
     const { settings } = this.#options;
     const { signal } = this.#stopController;
     this.#logger.log("start", "notable", { ...settings });
-    await this.#readyServer.open(settings.host, settings.readyPort);
+    await this.#statusServer.open(settings.host, settings.readyPort);
     await this.#server.open();
     await this.#peerTransport.open();
     await this.#metricsServer.open(settings.host, settings.metricsPort);
@@ -247,7 +247,7 @@
       openRequests: this.#server.openRequests,
     });
     this.#server.close();
-    this.#readyServer.close();
+    this.#statusServer.close();
     this.#metricsServer.close();
     this.#peerTransport.close();
     this.#adapter.close();
@@ -393,14 +393,14 @@
       getTrustedSinceMs: () => detector.checkTrustedSinceMs(),
       hasEnded: (holder) => this.#catalogue.hasEnded(holder),
       isAlive: (name) => this.#members.isAlive(name, clock.readMs()),
-      listAlive: () => this.#duties.listHeartbeatSenders(),
+      listAlive: () => this.#duties.listGlobalHeartbeatSenders(),
       isCandidate: () => this.#duties.isCandidate(),
       sendToPeer: (name, message) => this.#sendToPeer(name, message),
       refreshMembers: () => this.#views.scheduleMembersRead(),
       hasInstanceEnded: (claim) =>
         this.#members.hasEnded(claim.instance, claim.incarnation),
       observe: (event) => this.#reporter.observeKeeper(event),
-      onTableWritten: (written) => this.#relay.sendTable(written),
+      onTableWritten: (written) => this.#relay.sendTableDiff(written),
       onGranted: (granted) => this.#relay.sendGranted(granted),
       onAppended: (part, record) => this.#recordAppended(part, record),
       onRestored: (part, end) => this.#relay.recordTableEnd(part, end),
@@ -512,7 +512,7 @@
         dataCentre: settings.dataCentre,
         host: settings.host,
         port: this.#peerTransport.port,
-        statusPort: this.#readyServer.port,
+        statusPort: this.#statusServer.port,
         cores: settings.cores,
       },
       announce: (offset, record) => this.#sendOwnRecord(offset, record),
@@ -616,7 +616,7 @@
   get ports(): InstancePorts {
     return {
       request: this.#server.port,
-      status: this.#readyServer.port,
+      status: this.#statusServer.port,
       peer: this.#peerTransport.port,
       metrics: this.#metricsServer.port,
     };
--- a/packages/gateway/src/members/duties.ts
+++ b/packages/gateway/src/members/duties.ts
@@ -2,12 +2,11 @@
  * Determines which instances do work for others: keep keys, read the store for
  * all instances, or forward what was read.
  *
- * Load pattern: 200 instances. If each of them read the configuration, the
- * members and the group of keepers itself, those calls alone would be 100 a
- * second; and a small instance with a quarter of a core cannot renew the keys
- * of 180 targets. So a few instances do this work, the strongest first. Each
- * instance computes the same duties from the members' records and from which
- * instances are alive.
+ * If each of 200 instances read the configuration, the members and the group of
+ * keepers itself, those calls alone would be 100 a second; and a small instance
+ * with a quarter of a core cannot renew the keys of 180 targets. So a few
+ * instances do this work, the strongest first. Each instance computes the same
+ * duties from the members' records and from which instances are alive.
  *
  * All duties are hints. Two instances that each act as the reader both read,
  * which costs calls and does no harm, and an instance that receives nothing
@@ -20,14 +19,19 @@
 /**
  * The work that an instance does for others. `keeper-candidate`: joins the
  * group of keepers and follows the configuration. `reader`: reads the targets'
- * entries for all instances. `local-reader`: forwards in its data centre what
- * was read, and collects loads there.
+ * entries for all instances. `local-reader`: one instance in each data centre,
+ * which forwards there the messages of other data centres, aggregates the load
+ * counts of the instances there, and reads the targets' entries for them if the
+ * reader sends none.
  */
 export type Duty = "keeper-candidate" | "reader" | "local-reader";
 
 export interface DutiesOptions {
   readonly clock: Clock;
-  /** The same object that `members` was created with. */
+  /**
+   * The same object that `members` was created with; its rank is found by
+   * object identity.
+   */
   readonly self: RankedInstance;
   readonly members: Members;
   /** Whether the store does not answer this instance. */
@@ -35,11 +39,11 @@
 }
 
 /**
- * Instances that join the group of keepers and follow the configuration. If a
- * partial outage cuts a third of all instances off the store, at least one of
- * six still reaches it in 699 of 700 cases.
+ * Maximum number of instances that join the group of keepers and follow the
+ * configuration. If a partial outage cuts a third of all instances off the
+ * store, at least one of six still reaches it in 699 of 700 cases.
  */
-const CANDIDATES = 6;
+const MAX_CANDIDATES = 6;
 /** This many become candidates however few cores they have. */
 const MIN_CANDIDATES = 3;
 /**
@@ -47,11 +51,14 @@
  * weaker instances are slower to renew keys.
  */
 const MIN_CORES_RATIO = 0.5;
-/** Instances that send heartbeats to all: twice the number of candidates. */
-const REGIONAL_HEARTBEAT_SENDERS = 2 * CANDIDATES;
 /**
- * Instances per data centre that send heartbeats within it, where one of them
- * is the local reader.
+ * Number of instances that send heartbeats to all data centres: twice the
+ * number of candidates.
+ */
+const GLOBAL_HEARTBEAT_SENDERS = 2 * MAX_CANDIDATES;
+/**
+ * Number of instances per data centre that send heartbeats within it, where one
+ * of them is the local reader.
  */
 const LOCAL_HEARTBEAT_SENDERS = 2;
 /**
@@ -64,18 +71,21 @@
 /** How long duties are cached, since they are needed for each datagram. */
 const CACHE_MS = 50;
 /**
- * Instances that coordinate a subject: the second one if the first is silent.
+ * Number of instances that may coordinate a key: the second one does if the
+ * first is silent.
  */
-const COORDINATORS = 2;
+const COORDINATOR_COUNT = 2;
 
 interface Decision {
   readonly atMs: number;
   readonly isCandidate: boolean;
+  /** Whether this instance sends heartbeats, to all data centres or its own. */
   readonly isHeartbeatSender: boolean;
   /** Whether this instance sends heartbeats to all data centres. */
-  readonly sendsToRegion: boolean;
+  readonly sendsToAllDataCentres: boolean;
   readonly candidates: ReadonlySet<string>;
-  readonly heartbeatSenders: ReadonlySet<string>;
+  /** The live instances that send heartbeats to all data centres. */
+  readonly globalHeartbeatSenders: ReadonlySet<string>;
   readonly reader: string;
   /** By data centre. */
   readonly localReaders: ReadonlyMap<string, string>;
@@ -119,32 +129,33 @@
   }
 
   /** Whether another instance is a candidate, as far as is known here. */
-  hasCandidate(instance: string): boolean {
+  isCandidateInstance(instance: string): boolean {
     return this.#decide().candidates.has(instance);
   }
 
-  /** Whether this instance sends heartbeats. */
+  /** Whether this instance sends heartbeats, to all data centres or its own. */
   isHeartbeatSender(): boolean {
     return this.#decide().isHeartbeatSender;
   }
 
   /** The other live instances that send heartbeats to all data centres. */
-  listHeartbeatSenders(): readonly Member[] {
-    const { heartbeatSenders } = this.#decide();
+  listGlobalHeartbeatSenders(): readonly Member[] {
+    const { globalHeartbeatSenders } = this.#decide();
     return this.#options.members.listPeers()
-      .filter(({ instance }) => heartbeatSenders.has(instance));
+      .filter(({ instance }) => globalHeartbeatSenders.has(instance));
   }
 
   /**
-   * Chooses the instances that coordinate a subject shared by all instances, in
-   * order of preference: by a hash of subject and name, among the instances
-   * that send heartbeats to all data centres.
+   * Chooses the instances that coordinate a key for all instances, such as a
+   * target whose rate limit is coordinated. They are in order of preference: by
+   * a hash of the key and the instance's name, among the instances that send
+   * heartbeats to all data centres.
    */
-  chooseCoordinators(subject: string): readonly string[] {
-    return [...this.#decide().heartbeatSenders]
-      .map((name) => ({ name, order: hashToUint32(`${subject} ${name}`) }))
+  chooseCoordinators(key: string): readonly string[] {
+    return [...this.#decide().globalHeartbeatSenders]
+      .map((name) => ({ name, order: hashToUint32(`${key} ${name}`) }))
       .toSorted((left, right) => left.order - right.order)
-      .slice(0, COORDINATORS)
+      .slice(0, COORDINATOR_COUNT)
       .map(({ name }) => name);
   }
 
@@ -176,13 +187,12 @@
 
   /** The receivers of this instance's heartbeats. */
   listHeartbeatReceivers(): readonly Member[] {
-    const { sendsToRegion, heartbeatSenders } = this
-      .#decide();
+    const { sendsToAllDataCentres, globalHeartbeatSenders } = this.#decide();
     const { self, members } = this.#options;
-    return sendsToRegion
+    return sendsToAllDataCentres
       ? members.listPeers()
       : members.listPeers().filter(({ instance, dataCentre }) =>
-        dataCentre === self.dataCentre || heartbeatSenders.has(instance)
+        dataCentre === self.dataCentre || globalHeartbeatSenders.has(instance)
       );
   }
 
@@ -242,27 +252,28 @@
     const rankedBefore = alive.slice(0, alive.indexOf(self));
     const localRankedBefore = rankedBefore
       .filter(({ dataCentre }) => dataCentre === self.dataCentre);
-    const heartbeatSenders = alive.slice(0, REGIONAL_HEARTBEAT_SENDERS);
-    const sendsToRegion = rankedBefore.length < REGIONAL_HEARTBEAT_SENDERS;
+    const globalHeartbeatSenders = alive.slice(0, GLOBAL_HEARTBEAT_SENDERS);
+    const sendsToAllDataCentres =
+      rankedBefore.length < GLOBAL_HEARTBEAT_SENDERS;
     const candidates = listNames(
-      chooseCandidates(heartbeatSenders, new Set(withStore)),
+      chooseCandidates(globalHeartbeatSenders, new Set(withStore)),
     );
     return {
       atMs: nowMs,
       isCandidate: candidates.has(self.instance) &&
         this.#hasDiscoveredOthers(nowMs),
-      isHeartbeatSender: sendsToRegion ||
+      isHeartbeatSender: sendsToAllDataCentres ||
         localRankedBefore.length < LOCAL_HEARTBEAT_SENDERS,
-      sendsToRegion,
+      sendsToAllDataCentres,
       candidates,
-      heartbeatSenders: listNames(heartbeatSenders),
+      globalHeartbeatSenders: listNames(globalHeartbeatSenders),
       reader: (withStore[0] ?? alive[0]!).instance,
       localReaders: chooseLocalReaders([...withStore, ...alive]),
     };
   }
 
   #hasDiscoveredOthers(nowMs: number): boolean {
-    return this.#options.members.instanceCount > CANDIDATES ||
+    return this.#options.members.instanceCount > MAX_CANDIDATES ||
       nowMs - this.#startedAtMs >= DISCOVERY_MS;
   }
 
@@ -289,7 +300,7 @@
     ...instances.filter((instance) => !withStore.has(instance)),
   ];
   const maxCores = Math.max(...ordered.map(({ cores }) => cores));
-  return ordered.slice(0, CANDIDATES).filter(({ cores }, rank) =>
+  return ordered.slice(0, MAX_CANDIDATES).filter(({ cores }, rank) =>
     rank < MIN_CANDIDATES || cores >= MIN_CORES_RATIO * maxCores
   );
 }
--- a/packages/gateway/src/members/member_publisher.ts
+++ b/packages/gateway/src/members/member_publisher.ts
@@ -1,8 +1,8 @@
 /**
  * Writes an instance's record into the store and announces the record to the
- * instances that this one knows. Load pattern: 200 instances are restarted one
- * after the other. If each of them kept a read open at the store for the others'
- * records, every restart would be answered by 200 calls.
+ * instances that this one knows. If each of 200 instances kept a read open at
+ * the store for the others' records instead, each restart would cause 200 calls
+ * while all instances are restarted one after the other.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Partition, Store } from "@lentilspur/ports/store";
--- a/packages/gateway/src/members/members.ts
+++ b/packages/gateway/src/members/members.ts
@@ -19,13 +19,13 @@
   readonly incarnation: string;
   readonly host: string;
   readonly port: number;
-  /** Port of the instance's status endpoint. */
+  /** Port of the instance's status server. */
   readonly statusPort: number;
 }
 
 /**
- * Instances that send heartbeats do so at least every 500 ms: two datagrams may
- * be lost.
+ * An instance is alive if a datagram from it has arrived within this time.
+ * Heartbeats come at least every 500 ms, so two datagrams may be lost.
  */
 const ALIVE_MS = 1_600;
 /** For records without this field, which earlier versions wrote. */
@@ -57,9 +57,10 @@
 
   /**
    * Applies a record that was read from the store or received from an instance.
-   * An instance that is new or has restarted counts as alive, since it was
-   * there just now. Returns false and leaves the record out if the text is no
-   * member's record.
+   * An instance that is new here or has restarted counts as alive until
+   * `ALIVE_MS` have passed. This includes the old records that are read after a
+   * start of this instance. Returns false and leaves the record out if the text
+   * is no member's record.
    */
   apply(
     instance: string,
@@ -98,7 +99,10 @@
     this.#lastContacts.set(instance, { atMs: nowMs, hasLostStore });
   }
 
-  /** Whether one of the instance's last datagrams has arrived. */
+  /**
+   * Whether a datagram from the instance, or the record of its current
+   * incarnation, arrived within the last `ALIVE_MS`.
+   */
   isAlive(instance: string, nowMs: number): boolean {
     return nowMs - (this.#lastContacts.get(instance)?.atMs ?? -Infinity) <
       ALIVE_MS;
--- a/packages/gateway/src/peers/datagram_fragments.ts
+++ b/packages/gateway/src/peers/datagram_fragments.ts
@@ -6,7 +6,8 @@
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 
 /**
- * In characters; the rest of the message takes about 150 bytes of the datagram.
+ * Maximum characters of a fragment's text; the rest of the message takes about
+ * 150 bytes of the datagram.
  */
 export const MAX_FRAGMENT_LENGTH = 1_100;
 /**
@@ -21,9 +22,9 @@
 
 /**
  * Compresses a value and splits it into fragments; undefined if it is too long.
- * With 150 targets the moves of a plan take three to six fragments. When the
- * instances had to read the table instead, 58 of them read it at once, several
- * times a second: nine tenths of 156 calls a second.
+ * With 150 targets the moves of a plan take three to six fragments. If 58
+ * instances had to read the table instead, they would all do so at once, several
+ * times a second. These reads would be nine tenths of 156 calls a second.
  */
 export function encodeValue(value: unknown): readonly Fragment[] | undefined {
   const text = deflateRawSync(JSON.stringify(value)).toString("base64");
--- a/packages/gateway/src/peers/load_counts.ts
+++ b/packages/gateway/src/peers/load_counts.ts
@@ -1,6 +1,5 @@
 /**
- * Counts of the requests that instances have running at each target and
- * waiting.
+ * Counts of the running and the waiting requests of instances, per target.
  */
 
 /** Counts by target; an absent target counts as 0. */
@@ -8,7 +7,7 @@
 
 /**
  * Counts of waiting requests by service, by the target that they wait for, and
- * by rank.
+ * by priority.
  */
 export type WaitingCounts = Readonly<
   Record<string, Readonly<Record<string, readonly number[]>>>
@@ -80,14 +79,14 @@
   }
   for (const [service, byTarget] of Object.entries(counts.waiting)) {
     const known = waiting[service] ??= {};
-    for (const [target, ranks] of Object.entries(byTarget)) {
-      known[target] = addRanks(known[target] ?? [], ranks, sign);
+    for (const [target, byPriority] of Object.entries(byTarget)) {
+      known[target] = addByPriority(known[target] ?? [], byPriority, sign);
     }
   }
   sum.instances = Math.max(0, sum.instances + sign * counts.instances);
 }
 
-function addRanks(
+function addByPriority(
   left: readonly number[],
   right: readonly number[],
   sign: 1 | -1,
@@ -95,6 +94,7 @@
   const length = Math.max(left.length, right.length);
   return Array.from(
     { length },
-    (_, rank) => Math.max(0, (left[rank] ?? 0) + sign * (right[rank] ?? 0)),
+    (_, priority) =>
+      Math.max(0, (left[priority] ?? 0) + sign * (right[priority] ?? 0)),
   );
 }
--- a/packages/gateway/src/peers/load_exchange.ts
+++ b/packages/gateway/src/peers/load_exchange.ts
@@ -1,17 +1,18 @@
 /**
- * Sends the other instances the counts of the requests that this one has
- * running at each target and waiting, and receives their counts.
+ * Sends this instance's counts of running and waiting requests per target to
+ * the other instances, and receives theirs.
  *
  * A few instances send to each other directly: immediately within a data
  * centre, whose instances share its targets, and a few times a second to other
  * data centres, because traffic between data centres has a cost.
  *
- * Load pattern: 60 to 200 instances. When 200 instances sent to each other
- * directly, each received the counts of another every 3 s, when most of the
- * counted requests were over, and still spent half of its processor time on 260
- * datagrams a second. So one instance in each data centre aggregates the counts
- * of the other instances there and sends the aggregate. Each instance then
- * sends 21 datagrams a second, and counts reach all instances within 0.6 s.
+ * Direct messages do not scale to deployments of 60 to 200 instances. Among 200
+ * instances, each would receive the counts of another every 3 s, when most of
+ * the counted requests are over, and would still spend half of its processor
+ * time on 260 datagrams a second. So one instance in each data centre, the
+ * aggregator, adds up the counts of the instances there and sends the sum, the
+ * aggregate. The aggregator is the data centre's local reader. Each instance
+ * then sends 21 datagrams a second, and counts reach all instances within 0.6 s.
  *
  * The counts are only hints. A lost datagram makes decisions worse for a
  * moment, and counts of instances that no longer send decay.
@@ -47,14 +48,15 @@
 }
 
 /**
- * With more instances than this, direct messages would be more than 250 ms
- * apart.
+ * Maximum number of instances that send to each other directly; with more,
+ * counts are aggregated. At this number, direct messages are up to 276 ms apart
+ * if all instances are in one data centre; if they are spread over five, those
+ * to other data centres are about 420 ms apart.
  */
 const MAX_DIRECT_INSTANCES = 24;
 /**
  * Minimum time between two messages; changes within it go out together. The
- * time grows with the number of instances, since each sends to each. Up to a
- * dozen instances the minimum applies.
+ * time grows with the number of receivers, since each instance sends to each.
  */
 interface SendInterval {
   readonly minMs: number;
@@ -64,7 +66,7 @@
 const LOCAL_INTERVAL: SendInterval = { minMs: 40, perInstanceMs: 12 };
 /**
  * To other data centres. Traffic there has a cost, and requests there take
- * about this long in total.
+ * about this long in total. The minimum applies up to eleven receivers.
  */
 const REMOTE_INTERVAL: SendInterval = { minMs: 250, perInstanceMs: 22 };
 /**
--- a/packages/gateway/src/peers/peer_dispatcher.ts
+++ b/packages/gateway/src/peers/peer_dispatcher.ts
@@ -44,8 +44,7 @@
 
   handle(message: PeerMessage): void {
     const { clock, members, loads, relay, keyTraffic, demands } = this.#options;
-    const { keepers, quarantine, limits, rateLimiter: turns, tables } =
-      this.#options;
+    const { keepers, quarantine, limits, rateLimiter, tables } = this.#options;
     members.recordContact(message.from, clock.readMs());
     switch (message.kind) {
       case "load":
@@ -68,7 +67,7 @@
         relay.applyConfiguration(message);
         return;
       case "owners":
-        relay.applyTable(message);
+        relay.applyTableDiff(message);
         return;
       case "table-request":
         tables.answer(message);
@@ -92,10 +91,10 @@
         limits.apply(message);
         return;
       case "quota-request":
-        turns.handleRequest(message);
+        rateLimiter.handleRequest(message);
         return;
       case "quota":
-        turns.handleResponse(message);
+        rateLimiter.handleResponse(message);
         return;
       case "pledge-request":
       case "pledge":
@@ -124,7 +123,8 @@
   /** Whether the sender reads each change of the configuration at once. */
   #isFollowingConfiguration(instance: string): boolean {
     const { duties, members } = this.#options;
-    return duties.hasCandidate(instance) && !members.hasLostStore(instance);
+    return duties.isCandidateInstance(instance) &&
+      !members.hasLostStore(instance);
   }
 
   #applyMember({ from, record, offset }: MemberMessage): void {
--- a/packages/gateway/src/peers/peer_message.ts
+++ b/packages/gateway/src/peers/peer_message.ts
@@ -21,7 +21,7 @@
   /** Whether the sender's reads of the store fail at present. */
   readonly hasLostStore: boolean;
   /**
-   * Partitions of the ownership table kept by the sender, and the offsets up to
+   * Partitions of the ownership topic kept by the sender, and the offsets up to
    * which its peers have to know them.
    */
   readonly ends: readonly (readonly [part: number, end: number])[];
@@ -95,8 +95,7 @@
   } & Fragment)
   | {
     /**
-     * Requests the tables of a partition of the ownership table from its
-     * keeper.
+     * Requests the ownership tables in a partition from its keeper.
      */
     readonly kind: "table-request";
     readonly from: string;
@@ -167,7 +166,7 @@
     readonly share: number;
   }
   | {
-    /** Response to the quota request with this number. */
+    /** Response to the request for a permit with this number. */
     readonly kind: "quota";
     readonly from: string;
     readonly number: number;
--- a/packages/gateway/src/peers/peer_transport.ts
+++ b/packages/gateway/src/peers/peer_transport.ts
@@ -83,7 +83,8 @@
 
   /**
    * Sends a message to some instances, without confirmation of its arrival.
-   * Returns false, without sending, if it is too long for a datagram.
+   * Returns false, without sending, if it is too long for a datagram or if the
+   * socket is closed.
    */
   send(to: readonly Member[], message: PeerMessage): boolean {
     return to.length === 0 || this.#sendText(to, JSON.stringify(message));
--- a/packages/gateway/src/structured_logger.ts
+++ b/packages/gateway/src/structured_logger.ts
@@ -32,7 +32,8 @@
 /** Lines logged within this time are written together, to save calls. */
 const FLUSH_DELAY_MS = 100;
 /**
- * Twice the requests a second that an instance on a node of today's size takes.
+ * Maximum lines of each priority in a second. The limit of routine lines is
+ * twice the 75 requests a second that an instance takes.
  */
 const ROUTINE_PER_SECOND = 150;
 const NOTABLE_PER_SECOND = 300;
--- a/packages/gateway/src/views/catalogue.ts
+++ b/packages/gateway/src/views/catalogue.ts
@@ -36,7 +36,7 @@
 
 /**
  * Entries that expired during an outage are back about 2 s after its end; a
- * reader that polls twice a second sees the last of them a little later.
+ * reader that polls every 750 ms sees the last of them a little later.
  */
 export const EXPIRED_ENTRY_GRACE_MS = 2_500;
 
@@ -49,7 +49,9 @@
  * evacuated; their entries report this within this time.
  */
 const PRESUMED_COLD_MS = 2_000;
-interface Entry {
+
+/** What this instance knows of a target, also while its entry is missing. */
+interface TargetState {
   target: KnownTarget;
   /** Sequence number of the newest entry. */
   sequence: number;
@@ -65,7 +67,7 @@
 
 export class Catalogue {
   readonly #options: CatalogueOptions;
-  readonly #targets = new Map<string, Entry>();
+  readonly #targets = new Map<string, TargetState>();
   readonly #evacuations = new Evacuations();
   readonly #firstSeenTimes = new TargetFirstSeenTimes();
   #table: RoutingTable | undefined;
@@ -76,6 +78,7 @@
     this.#options = options;
   }
 
+  /** The configuration in force; undefined until one has been applied. */
   get table(): RoutingTable | undefined {
     return this.#table;
   }
@@ -173,11 +176,11 @@
     if (!this.#evacuations.apply(dataCentre, isEvacuated, nowMs)) {
       return;
     }
-    const entries = [...this.#targets.values()]
+    const targets = [...this.#targets.values()]
       .filter(({ target }) => target.dataCentre === dataCentre);
     if (!isEvacuated) {
-      entries.forEach((entry) =>
-        this.#setCold(entry, nowMs + PRESUMED_COLD_MS, nowMs)
+      targets.forEach((known) =>
+        this.#setCold(known, nowMs + PRESUMED_COLD_MS, nowMs)
       );
     }
     this.#targetsChanged = true;
@@ -185,7 +188,7 @@
       kind: "evacuation",
       dataCentre,
       state: isEvacuated ? "evacuated" : "restored",
-      targets: entries.length,
+      targets: targets.length,
     });
   }
 
@@ -251,8 +254,8 @@
   }
 
   /**
-   * Lists the targets of a service; targets that get no new work are marked as
-   * leaving.
+   * Lists all targets of a service. Those that get no new work, because they
+   * are leaving or their data centre is evacuated, have `leaving` set.
    */
   listForNewWork(service: string): readonly KnownTarget[] {
     return this.listTargets(service).map((target) =>
@@ -276,11 +279,13 @@
    * Whether an incarnation of a target is known to have ended, because another
    * process has appeared at its address since the incarnation was first seen
    * there. Entries outlive processes, so the order of two entries at an address
-   * must be known. Nothing is proven by two entries that were first seen in the
-   * same read, by an entry at the address of an incarnation that this instance
-   * never saw, or by an entry that names an unknown service. A later
-   * incarnation under the same id does not count either: requests sent to the
-   * earlier one may have reached the later one.
+   * must be known. Returns false in these cases, which prove nothing:
+   *
+   * - This instance never saw the incarnation.
+   * - Both entries were first seen in the same read.
+   * - The other entry names an unknown service.
+   * - The later incarnation has the same id: requests sent to the earlier one
+   *   may have reached the later one.
    */
   hasEnded(incarnation: Assignee): boolean {
     const { id, address } = incarnation;
@@ -365,28 +370,28 @@
     const coldUntilMs = isSameIncarnation
       ? known.target.coldUntilMs
       : -Infinity;
-    const entry: Entry = {
+    const state: TargetState = {
       target: { ...target, leaving, coldUntilMs },
       sequence: target.sequence,
       missingSinceMs: null,
       goneAtMs: null,
       leavingSinceMs: leaving ? since ?? nowMs : null,
     };
-    this.#targets.set(target.id, entry);
+    this.#targets.set(target.id, state);
     this.#report(target, leaving ? "leaving" : "present");
-    if (isColdLonger(entry.target, target, nowMs)) {
-      this.#setCold(entry, nowMs + target.coldMs, nowMs);
+    if (isColdLonger(state.target, target, nowMs)) {
+      this.#setCold(state, nowMs + target.coldMs, nowMs);
     }
   }
 
-  #setCold(entry: Entry, untilMs: number, nowMs: number): void {
-    const { id: targetId, service, coldUntilMs } = entry.target;
-    entry.target = {
-      ...entry.target,
+  #setCold(known: TargetState, untilMs: number, nowMs: number): void {
+    const { id: targetId, service, coldUntilMs } = known.target;
+    known.target = {
+      ...known.target,
       coldUntilMs: Math.max(coldUntilMs, untilMs),
     };
     this.#targetsChanged = true;
-    const forMs = Math.round(entry.target.coldUntilMs - nowMs);
+    const forMs = Math.round(known.target.coldUntilMs - nowMs);
     this.#options.observe({ kind: "target-cold", targetId, service, forMs });
   }
 
@@ -426,12 +431,13 @@
 }
 
 /**
- * Whether two entries of a target differ in nothing but the sequence number and
- * the cold time. A heartbeat alone is no change.
+ * Whether an entry differs from the known state of its target in nothing but
+ * the sequence number and the cold time. A heartbeat alone is no change. A known
+ * leaving state is kept, so an entry that is not leaving is no change either.
  */
-function isSameState(left: RoutingTarget, right: RoutingTarget): boolean {
-  return left.bornMs === right.bornMs && left.service === right.service &&
-    left.address === right.address &&
-    left.dataCentre === right.dataCentre && left.places === right.places &&
-    (left.leaving || left.leaving === right.leaving);
+function isSameState(known: RoutingTarget, entry: RoutingTarget): boolean {
+  return known.bornMs === entry.bornMs && known.service === entry.service &&
+    known.address === entry.address &&
+    known.dataCentre === entry.dataCentre && known.places === entry.places &&
+    (known.leaving || known.leaving === entry.leaving);
 }
--- a/packages/gateway/src/views/catalogue_test.ts
+++ b/packages/gateway/src/views/catalogue_test.ts
@@ -93,7 +93,7 @@
   assert.ok(!catalogue.advance(10));
 });
 
-test("a leaving target does not come back under its id", () => {
+test("a leaving target stays leaving if an entry of its incarnation says otherwise", () => {
   // After an outage, an older record may bring back the target's last
   // heartbeats from before it left.
   const { catalogue } = createCatalogue();
@@ -121,7 +121,7 @@
   assert.ok(catalogue.getTarget("b") === undefined);
 });
 
-test("a stale entry at a target's address does not prove that the target ended", () => {
+test("the entry of a former target at an address does not prove that the running target ended", () => {
   // A target crashed and another started at its address, but the old entry
   // remains. If it counted as newer, the running target would seem ended, and
   // its keys would be granted to a third target while it serves them.
@@ -145,9 +145,9 @@
 });
 
 test("a target that left while the store could not be read gets no new work", () => {
-  // An instance cut off from the store for 12 s took a target that had left for
-  // one whose entry had expired, and sent to it for 2.5 s more (scale-2 of
-  // abay-recovery, seed 618288458011, 12 s after the target reported leaving).
+  // While an instance cannot read the store for 12 s, a target leaves and its
+  // entry disappears. If the entry counted as expired, the target would get
+  // requests for the whole grace period of 2.5 s.
   const { catalogue } = createCatalogue();
   for (const id of ["a", "b", "c"]) {
     catalogue.applyTarget(id, formatTarget({ id }), NOW);
--- a/packages/gateway/src/views/partition_view.ts
+++ b/packages/gateway/src/views/partition_view.ts
@@ -68,8 +68,8 @@
   /** How long the store may hold a read open until there is a record. */
   readonly waitMs: number;
   /**
-   * How long records or confirmations from peers replace a read; 0: they never
-   * do.
+   * How long records or confirmations from peers, or this instance's own
+   * appends, replace a read; 0: they never do.
    */
   readonly peerDataTtlMs: number;
   /** Maximum pause after a failed read. */
@@ -88,8 +88,11 @@
   readonly records: readonly StoreRecord[];
 }
 
-/** Each failed read in a row doubles the backoff, starting from this value. */
-const MIN_BACKOFF_MS = 100;
+/**
+ * Each failed read in a row doubles the backoff before it is used, so the first
+ * pause is twice this value.
+ */
+const INITIAL_BACKOFF_MS = 100;
 /** A change of the polling policy takes effect within this time. */
 const POLICY_CHECK_MS = 250;
 /**
@@ -113,10 +116,10 @@
   readonly #newestRecords = new Map<string, StoreRecord>();
   #end = -1;
   #storeConfirmedAtMs = -Infinity;
-  #peerConfirmedAtMs = -Infinity;
+  #indirectlyConfirmedAtMs = -Infinity;
   #lostAtMs: number | null = null;
   #regainedAtMs = -Infinity;
-  #backoffMs = MIN_BACKOFF_MS;
+  #backoffMs = INITIAL_BACKOFF_MS;
   #stallTimeoutMs = MIN_STALL_TIMEOUT_MS;
   #wake: (() => void) | undefined;
   #isScheduled = false;
@@ -126,7 +129,11 @@
     this.#options = options;
   }
 
-  /** Whether the partition has been read at least once. */
+  /**
+   * Whether this view holds a state that reads can continue from. False before
+   * the first read, and after the store has dropped its history until the
+   * newest records have been read.
+   */
   get isLoaded(): boolean {
     return this.#end >= 0;
   }
@@ -137,17 +144,19 @@
   }
 
   /**
-   * When the store last confirmed that this view is current, by the local
-   * clock. Confirmations from peers do not count, because keepers rely on this
-   * time.
+   * When a read last confirmed that this view is current, by the local clock.
+   * Indirect confirmations do not count, because keepers rely on this time.
    */
   get storeConfirmedAtMs(): number {
     return this.#storeConfirmedAtMs;
   }
 
-  /** When the store or a peer last confirmed that this view is current. */
+  /**
+   * When a read or an indirect confirmation last showed that this view is
+   * current.
+   */
   get currentAsOfMs(): number {
-    return Math.max(this.#storeConfirmedAtMs, this.#peerConfirmedAtMs);
+    return Math.max(this.#storeConfirmedAtMs, this.#indirectlyConfirmedAtMs);
   }
 
   /**
@@ -166,11 +175,15 @@
   }
 
   /**
-   * Records that the view was current at this time, because a peer reported an
-   * unchanged end or this instance wrote the newest record itself.
+   * Records that the view was current at this time, confirmed without a read:
+   * a peer reported an unchanged end or sent records, or this instance wrote
+   * the newest record itself.
    */
-  recordPeerConfirmation(atMs: number): void {
-    this.#peerConfirmedAtMs = Math.max(this.#peerConfirmedAtMs, atMs);
+  recordIndirectConfirmation(atMs: number): void {
+    this.#indirectlyConfirmedAtMs = Math.max(
+      this.#indirectlyConfirmedAtMs,
+      atMs,
+    );
   }
 
   /**
@@ -185,8 +198,8 @@
   }
 
   /**
-   * Applies records that another instance has read, unless records before them
-   * are missing here.
+   * Applies records that another instance has read or that this one has
+   * written, unless records before them are missing here.
    */
   applyBatch(batch: RecordBatch): void {
     if (batch.end < this.#end || !this.isLoaded) {
@@ -201,7 +214,7 @@
       const regainedAtMs = nowMs - batch.sinceOutageMs;
       this.#regainedAtMs = Math.max(this.#regainedAtMs, regainedAtMs);
     }
-    this.recordPeerConfirmation(nowMs - batch.ageMs);
+    this.recordIndirectConfirmation(nowMs - batch.ageMs);
     for (const record of batch.records) {
       if (record.offset >= this.#end) {
         this.#applyRecord(record);
@@ -221,7 +234,7 @@
     }
   }
 
-  /** Skips reads for as long as peers send or confirm the partition's state. */
+  /** Skips reads for as long as indirect confirmations replace them. */
   async #waitUntilDue(signal: AbortSignal): Promise<void> {
     const { clock, getPollingPolicy } = this.#options;
     while (
@@ -364,7 +377,7 @@
   #recordStoreResponse(sentAtMs: number): void {
     const { clock, partition, observe } = this.#options;
     this.#storeConfirmedAtMs = Math.max(this.#storeConfirmedAtMs, sentAtMs);
-    this.#backoffMs = MIN_BACKOFF_MS;
+    this.#backoffMs = INITIAL_BACKOFF_MS;
     if (this.#lostAtMs !== null) {
       const nowMs = clock.readMs();
       const afterMs = nowMs - this.#lostAtMs;
@@ -375,8 +388,8 @@
   }
 
   /**
-   * Removes the keys that are not among the newest records: they were deleted
-   * while this instance was not reading.
+   * Applies the newest record of each key. Known keys without one were deleted
+   * while this instance was not reading, and are removed.
    */
   #mergeSnapshot(records: readonly StoreRecord[]): void {
     const presentKeys = new Set(records.map((record) => record.key));
--- a/packages/gateway/src/views/partition_view_test.ts
+++ b/packages/gateway/src/views/partition_view_test.ts
@@ -171,7 +171,7 @@
   assert.ok(calls <= 8_000 / 1_400 + 2, `${calls} calls`);
 });
 
-test("a report of a change that a read in flight returns causes no second read", async () => {
+test("a report of a change does not abandon a read that a slow store answers after 240 ms", async () => {
   // Peers learn of a change shortly before this instance's own read brings it;
   // a slow store responds to that read after 240 ms.
   let reads = 0;
--- a/packages/gateway/src/views/store_views.ts
+++ b/packages/gateway/src/views/store_views.ts
@@ -1,6 +1,6 @@
 /**
  * Follows the partitions of the store that an instance routes by:
- * configuration, targets, members and ownership table.
+ * configuration, targets, members and ownership tables.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { Partition, Store } from "@lentilspur/ports/store";
@@ -32,7 +32,7 @@
   readonly duties: Duties;
   readonly onConfiguration: () => void;
   /**
-   * Whether this instance is the keeper of a partition of the ownership table,
+   * Whether this instance is the keeper of a partition of the ownership topic,
    * or is about to become its keeper.
    */
   readonly isKeeper: (part: number) => boolean;
@@ -45,12 +45,12 @@
 }
 
 /**
- * Keeper candidates follow the configuration for all instances. Changes are
- * rare, so the store holds their reads open. Connections of all instances may
- * go silent at once, which only the end of a read reveals. So the reads of the
- * candidates end one after another: those of the first after this time, those
- * of the second after twice as long, and so on. The first candidate that finds
- * a change passes it on, and an instance whose connections fail has 3 s to
+ * How long the store may hold open the first candidate's read of the
+ * configuration; the candidate of rank n waits n + 1 times as long. Changes are
+ * rare, so reads are held open. If the connections of all instances go silent
+ * at once, each candidate notices only when its read ends. Staggered reads let
+ * one of them find a change early: it reports its new offset, and the reader
+ * also sends the records. An instance whose connections fail has 3 s to
  * recover.
  */
 const CONFIGURATION_WAIT_MS = 1_800;
@@ -117,7 +117,9 @@
  */
 const DEFAULT_MAX_BACKOFF_MS = 1_600;
 /**
- * An entry that disappears this soon after an outage may have expired in it.
+ * An entry that disappears soon after an outage may have expired in it and has
+ * a grace period, which counts from the end of the outage. It is over after
+ * `EXPIRED_ENTRY_GRACE_MS`, so this longer limit has no effect.
  */
 const POST_OUTAGE_MS = 3_000;
 
@@ -204,16 +206,18 @@
 
   /**
    * Applies a peer's report of how far it has read the configuration.
-   * `isNewest` means that the peer reads each change immediately, so that an
+   * `isFollowing` means that the peer reads each change immediately, so that an
    * equal end confirms the state here.
    */
-  applyConfigurationEnd(end: number, isNewest: boolean): void {
+  applyConfigurationEnd(end: number, isFollowing: boolean): void {
     const known = this.#configuration.end;
     if (end > known) {
       const scheduleRead = () => this.#configuration.scheduleRead();
       void this.#readIfMissing(this.#configuration, end, scheduleRead);
-    } else if (end === known && isNewest) {
-      this.#configuration.recordPeerConfirmation(this.#options.clock.readMs());
+    } else if (end === known && isFollowing) {
+      this.#configuration.recordIndirectConfirmation(
+        this.#options.clock.readMs(),
+      );
     }
   }
 
@@ -241,7 +245,7 @@
   }
 
   /**
-   * Applies the end of a partition of the ownership table as reported by its
+   * Applies the end of a partition of the ownership topic as reported by its
    * keeper.
    */
   applyOwnersEnd(part: number, end: number, keeper: string): void {
@@ -250,7 +254,7 @@
       return;
     }
     if (end <= view.end) {
-      view.recordPeerConfirmation(this.#options.clock.readMs());
+      view.recordIndirectConfirmation(this.#options.clock.readMs());
       return;
     }
     const fetch = () => this.#options.fetchTable(part, keeper, end);
@@ -273,7 +277,7 @@
     return this.#owners.get(part);
   }
 
-  /** Starts to follow a partition of the ownership table. */
+  /** Starts to follow a partition of the ownership topic. */
   startOwnersView(part: number): void {
     if (this.#owners.has(part)) {
       return;
@@ -399,7 +403,7 @@
     }
     const { directory, reportFault } = this.#options;
     if (!key.startsWith(TABLE_PREFIX)) {
-      reportFault(`Unknown key "${key}" in a partition of the ownership table`);
+      reportFault(`Unknown key "${key}" in a partition of the ownership topic`);
       return;
     }
     const service = key.slice(TABLE_PREFIX.length);
--- a/packages/gateway/src/views/table_requests.ts
+++ b/packages/gateway/src/views/table_requests.ts
@@ -1,11 +1,11 @@
 /**
- * Fetches a whole ownership table from its keeper for an instance that has
- * missed an update of the table, and answers such requests of its peers.
+ * Fetches whole ownership tables from their keeper for an instance that has
+ * missed an update of them, and answers such requests of its peers.
  *
- * Load pattern: the store refuses the calls of a third of 81 instances for 9 s
- * while keys move several times a second. An instance that misses one datagram
- * cannot read the table, and would send requests to former owners until the
- * store responds again.
+ * Without this, an instance that misses one datagram while the store refuses
+ * its calls would send requests to former owners until the store responds
+ * again. This matters in an outage in which the store refuses the calls of a
+ * third of 81 instances for 9 s while keys move several times a second.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { StoreRecord } from "@lentilspur/ports/store";
@@ -61,8 +61,9 @@
   }
 
   /**
-   * Requests the tables up to `end` from the keeper; if they do not arrive,
-   * schedules a read of the store.
+   * Requests the tables of a partition from its keeper. Schedules a read of the
+   * store if the view has not reached `end` after `RESPONSE_TIMEOUT_MS`, or at
+   * once if the keeper is unknown.
    */
   async fetch(part: number, keeper: string, end: number): Promise<void> {
     const { clock, instance, findMember, getOwnersView, send } = this.#options;
@@ -95,6 +96,11 @@
     }
   }
 
+  /**
+   * Applies the table of one service, and advances the view past its offset. A
+   * table whose offset the view has passed is ignored. The tables of a response
+   * have the same offset, so only the first one that is complete is applied.
+   */
   apply({ from, part, service, offset, ...fragment }: TableMessage): void {
     const { clock, directory, getOwnersView } = this.#options;
     const view = getOwnersView(part);
--- a/packages/gateway/src/views/view_relay.ts
+++ b/packages/gateway/src/views/view_relay.ts
@@ -1,17 +1,17 @@
 /**
  * Passes on what one instance has read or written, so that its peers need not
- * read the store. One instance, the reader, reads the targets' entries and the
- * configuration for all; the keeper of a partition of the ownership table sends
- * the tables that it writes. Both send to the instances of their own data
- * centre and to one instance in each other data centre, which forwards the
- * messages there.
+ * read the store. One instance, the reader, reads the targets' entries for all
+ * and passes on the configuration changes that it reads; the keeper of a
+ * partition of the ownership topic sends the tables that it writes. Both send to
+ * the instances of their own data centre and to one instance in each other data
+ * centre, which forwards the messages there.
  *
- * Load pattern: each target writes its entry about once a second, and in busy
- * periods keys move several times a second. If every instance read each of
- * these changes itself, twelve instances would make 48 calls a second, which is
- * most of what they cost the store. Forwarded records are applied only if no
- * earlier record is missing; an instance that has missed some, or receives
- * nothing, reads the store itself.
+ * Each target writes its entry about once a second, and in busy periods keys
+ * move several times a second. If every instance read each of these changes
+ * itself, twelve instances would make 48 calls a second, which is most of what
+ * they cost the store. Forwarded records are applied only if no earlier record
+ * is missing; an instance that has missed some, or receives nothing, reads the
+ * store itself.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { StoreRecord } from "@lentilspur/ports/store";
@@ -148,7 +148,7 @@
    * previous table. A difference that is too long is sent without its content,
    * so that the receivers fetch the table.
    */
-  sendTable(written: WrittenTable): void {
+  sendTableDiff(written: WrittenTable): void {
     const { part, service, offset, before, after } = written;
     const since = this.#tableEnds.get(part) ?? offset;
     this.#tableEnds.set(part, offset + 1);
@@ -163,8 +163,8 @@
   /**
    * Announces to all instances that a range has reached its new owner. A record
    * confirms this up to 1 s later; until then, requests for its keys would
-   * wait. The announcement is only a hint: a target that does not hold a key
-   * refuses it.
+   * wait. The announcement is only a hint: a target refuses requests for a key
+   * that it does not hold.
    */
   sendGranted({ service, range }: GrantedRange): void {
     const { directory, instance: from } = this.#options;
@@ -195,9 +195,10 @@
 
   /**
    * Records up to where the keeper has read its partition. A table before this
-   * end may never have been announced. If the difference of the next table were
-   * applied to a table older than that, keys would have wrong owners for good,
-   * so a receiver applies the difference only if it knows this end.
+   * end may have been written without being announced, because the response to
+   * its append was lost. If a receiver without that table applied
+   * the next difference, keys would have wrong owners for good; so it applies a
+   * difference only if it knows the partition up to this end.
    */
   recordTableEnd(part: number, end: number): void {
     this.#tableEnds.set(part, end);
@@ -234,10 +235,11 @@
   }
 
   /**
-   * Reads the store after a missed claim, which carries no table; otherwise
-   * fetches the table.
+   * Handles a message without a difference, or with one that cannot be applied
+   * here. Reads the store after a claim, which carries no table; otherwise
+   * fetches the whole table.
    */
-  #handleMissed(
+  #handleUnusableDiff(
     { from, part, service, offset }: OwnersMessage,
     view: PartitionView,
   ): void {
@@ -248,7 +250,11 @@
     }
   }
 
-  applyTable(message: OwnersMessage): void {
+  /**
+   * Applies the difference of a table that a keeper has sent. Whole tables are
+   * handled by `TableRequests`.
+   */
+  applyTableDiff(message: OwnersMessage): void {
     this.#forward(message);
     const { directory, getOwnersView } = this.#options;
     const { part, service, offset, since } = message;
@@ -264,7 +270,7 @@
     const patch = decodeValue(joined) as readonly OwnedRange[] | undefined;
     const before = directory.getTable(service);
     if (patch === undefined || before === undefined || view.end < since) {
-      this.#handleMissed(message, view);
+      this.#handleUnusableDiff(message, view);
       return;
     }
     directory.setTable(service, applyTablePatch(before, patch), {
--- a/packages/gateway/src/views/view_relay_tables_test.ts
+++ b/packages/gateway/src/views/view_relay_tables_test.ts
@@ -105,7 +105,7 @@
     owner: owners[(index * 11 + 3) % 25]!,
   }));
   const after = applyReassignments(before, changes, 9);
-  relay.sendTable({ part: 3, service: "files", offset: 1, before, after });
+  relay.sendTableDiff({ part: 3, service: "files", offset: 1, before, after });
   const [message] = sent;
   assert.ok(message?.kind === "owners" && message.text !== "");
 
@@ -122,7 +122,7 @@
     },
   });
   views.push(view);
-  relay.applyTable(message);
+  relay.applyTableDiff(message);
   assert.equal(
     applied.length,
     0,
@@ -130,13 +130,13 @@
   );
   void view.run(new AbortController().signal);
   await clock.advance(1_000);
-  relay.applyTable(message);
+  relay.applyTableDiff(message);
   assert.deepEqual(directory.getTable("files"), after);
   assert.equal(view.end, 2);
 
   store.write(partition, "table/files", serializeTable(after));
   store.write(partition, "table/files", serializeTable(before));
-  relay.applyTable({ ...message, offset: 5, since: 4 });
+  relay.applyTableDiff({ ...message, offset: 5, since: 4 });
   assert.deepEqual(
     directory.getTable("files"),
     after,
@@ -189,7 +189,7 @@
   void view.run(new AbortController().signal);
   await clock.advance(1_000);
   relay.sendClaim(3, 0);
-  relay.sendTable({
+  relay.sendTableDiff({
     part: 3,
     service: "files",
     offset: 1,
@@ -198,7 +198,7 @@
   });
   store.write(partition, "witnesses", "[]");
   reads = 0;
-  relay.sendTable({
+  relay.sendTableDiff({
     part: 3,
     service: "files",
     offset: 3,
@@ -208,7 +208,7 @@
   assert.equal(relay.getTableEnd(3), 4);
   const message = sent.at(-1)!;
   assert.ok(message.kind === "owners");
-  relay.applyTable(message);
+  relay.applyTableDiff(message);
   assert.deepEqual(directory.getTable("files"), second);
   assert.equal(view.end, 4);
   await clock.advance(1_000);
@@ -217,7 +217,7 @@
   // The table at offset 4 was written, but the response to its append was lost,
   // so it was never announced.
   relay.recordTableEnd(3, 5);
-  relay.sendTable({
+  relay.sendTableDiff({
     part: 3,
     service: "files",
     offset: 5,
@@ -266,7 +266,7 @@
   });
   void view.run(new AbortController().signal);
   await clock.advance(1_000);
-  relay.sendTable({ part: 0, service: "files", offset: 1, before, after });
+  relay.sendTableDiff({ part: 0, service: "files", offset: 1, before, after });
   assert.ok(sent.length > 1);
   for (const message of sent.toReversed()) {
     assert.ok(message.kind === "owners");
@@ -275,7 +275,7 @@
       before,
       "a fragment is missing",
     );
-    relay.applyTable(message);
+    relay.applyTableDiff(message);
   }
   assert.deepEqual(directory.getTable("files"), after);
 });
