--- a/packages/cli/src/operator_commands_test.ts
+++ b/packages/cli/src/operator_commands_test.ts
@@ -4,7 +4,10 @@
 import { test } from "node:test";
 import { choosePartition } from "@lentilspur/gateway/keeper/service_partition";
 import { formatTableKey } from "@lentilspur/ownership/keeper_records";
-import { createTable, serializeTable } from "@lentilspur/ownership/key_table";
+import {
+  createKeyTable,
+  serializeTable,
+} from "@lentilspur/ownership/key_table";
 import { OWNERS_TOPIC } from "@lentilspur/platform/declared_adapter";
 import { hashCredential } from "./commands/credential.ts";
 import { EXIT_CODES } from "./exit_codes.ts";
@@ -29,7 +32,7 @@
   platform.store.write(
     { topic: OWNERS_TOPIC, part: choosePartition("ledger", 8) },
     formatTableKey("ledger"),
-    serializeTable(createTable([owner], 7)),
+    serializeTable(createKeyTable([owner], 7)),
   );
   assert.equal(await terminal.run(...ownerArgs), EXIT_CODES.done);
   const output = terminal.takeOutput();
--- a/packages/gateway/src/instance.ts
+++ b/packages/gateway/src/instance.ts
@@ -341,7 +341,7 @@
       limits: this.#limits,
       rateLimiter: this.#rateLimiter,
       observeKey: (route, key) => this.#keyTraffic.observe(route, key),
-      refreshOwners: (service) =>
+      handleOwnerMiss: (service) =>
         this.#views.handleOwnerMiss(this.#choosePartition(service)),
       sender: this.#adapter.sender,
       isStopping: () => this.#isStopping,
@@ -393,10 +393,11 @@
       getTrustedSinceMs: () => detector.checkTrustedSinceMs(),
       hasEnded: (holder) => this.#catalogue.hasEnded(holder),
       isAlive: (name) => this.#members.isAlive(name, clock.readMs()),
-      listAlive: () => this.#duties.listGlobalHeartbeatSenders(),
+      listGlobalHeartbeatSenders: () =>
+        this.#duties.listGlobalHeartbeatSenders(),
       isCandidate: () => this.#duties.isCandidate(),
       sendToPeer: (name, message) => this.#sendToPeer(name, message),
-      refreshMembers: () => this.#views.scheduleMembersRead(),
+      scheduleMembersRead: () => this.#views.scheduleMembersRead(),
       hasInstanceEnded: (claim) =>
         this.#members.hasEnded(claim.instance, claim.incarnation),
       observe: (event) => this.#reporter.observeKeeper(event),
@@ -483,7 +484,7 @@
   }
 
   #applyConfiguration(): void {
-    const table = this.#catalogue.table!;
+    const table = this.#catalogue.routingTable!;
     this.#status.recordConfiguration();
     this.#accounts.setAccess(table.access);
     this.#server.setLimits(table.limits);
@@ -590,7 +591,7 @@
   }
 
   #listKeyedServices(part: number): readonly string[] {
-    const services = [...this.#catalogue.table?.services.values() ?? []];
+    const services = [...this.#catalogue.routingTable?.services.values() ?? []];
     return services
       .filter(({ name, keyed }) =>
         keyed && this.#choosePartition(name) === part
--- a/packages/gateway/src/instance_status.ts
+++ b/packages/gateway/src/instance_status.ts
@@ -50,7 +50,7 @@
       this.#wasReady = isReady();
       logger.log("ready", "notable", {
         isReady: this.#wasReady,
-        configurationVersion: catalogue.table?.version ?? null,
+        configurationVersion: catalogue.routingTable?.version ?? null,
         targets: catalogue.targetCount,
       });
     }
@@ -92,7 +92,7 @@
       waiting: countWaitingRequests(),
       openRequests: countOpenRequests(),
       targets: catalogue.targetCount,
-      configurationVersion: catalogue.table?.version ?? 0,
+      configurationVersion: catalogue.routingTable?.version ?? 0,
       droppedLines: logger.droppedCount,
       quarantined: countQuarantinedRequests(),
       limited: countLimitedTargets(),
@@ -108,7 +108,7 @@
       incarnation,
       dataCentre: settings.dataCentre,
       isReady: isReady(),
-      configurationVersion: catalogue.table?.version ?? 0,
+      configurationVersion: catalogue.routingTable?.version ?? 0,
       inForceForMs: Math.round(clock.readMs() - this.#inForceSinceMs),
       targets: catalogue.targetCount,
       openRequests: countOpenRequests(),
--- a/packages/gateway/src/keeper/keeper_service.ts
+++ b/packages/gateway/src/keeper/keeper_service.ts
@@ -101,7 +101,7 @@
   /**
    * Reads the instances' member records, to learn of later incarnations.
    */
-  readonly refreshMembers: () => void;
+  readonly scheduleMembersRead: () => void;
   /** Whether an instance has sent a datagram recently. */
   readonly isAlive: (instance: string) => boolean;
   /**
@@ -111,7 +111,7 @@
    * not a witness, so it waits until the keeper has stopped for certain, which is
    * after `maxAuthorityMs` at the latest.
    */
-  readonly listAlive: () => readonly KeeperClaim[];
+  readonly listGlobalHeartbeatSenders: () => readonly KeeperClaim[];
   /** Whether this instance is a keeper candidate. */
   readonly isCandidate: () => boolean;
   readonly sendToPeer: (instance: string, message: KeeperMessage) => void;
@@ -312,7 +312,7 @@
     const nowMs = this.#options.clock.readMs();
     if (nowMs - this.#lastRefreshedAtMs >= REFRESH_INTERVAL_MS) {
       this.#lastRefreshedAtMs = nowMs;
-      this.#options.refreshMembers();
+      this.#options.scheduleMembersRead();
     }
   }
 
@@ -349,7 +349,9 @@
   }
 
   #listHeartbeatSenders(): readonly string[] {
-    return this.#options.listAlive().map(({ instance }) => instance);
+    return this.#options.listGlobalHeartbeatSenders().map(({ instance }) =>
+      instance
+    );
   }
 
   /** Stops keepers in whose partition another instance has claimed. */
@@ -516,8 +518,9 @@
       getPredecessor: () => predecessors.computeState(),
       listServiceSnapshots: () => listServiceSnapshots(part),
       hasEnded,
-      listWitnesses: () =>
-        this.#options.listAlive().map(formatIncarnation).toSorted(),
+      listWitnessesToRecord: () =>
+        this.#options.listGlobalHeartbeatSenders().map(formatIncarnation)
+          .toSorted(),
       listUnresolved: () => predecessors.listUnresolved(),
       hasPledges: () =>
         this.#exchange.hasPledges(part, this.#listPledgeWitnesses(part)),
--- a/packages/gateway/src/keeper/keeper_simulation.ts
+++ b/packages/gateway/src/keeper/keeper_simulation.ts
@@ -89,9 +89,9 @@
         const known = members.get(claim.instance);
         return known !== undefined && known !== claim.incarnation;
       },
-      refreshMembers: () => void this.#readMembers(members),
+      scheduleMembersRead: () => void this.#readMembers(members),
       isAlive: (name) => this.#hasPath(name, instance),
-      listAlive: () => this.#listAlive(instance),
+      listGlobalHeartbeatSenders: () => this.#listAlive(instance),
       isCandidate: () => true,
       sendToPeer: (name, message) => this.#sendToPeer(instance, name, message),
       observe: (event) => this.events.push(event),
--- a/packages/gateway/src/keeper/key_traffic.ts
+++ b/packages/gateway/src/keeper/key_traffic.ts
@@ -63,7 +63,7 @@
    * Counts the key of a request for each keyed service that its route names.
    */
   observe(route: Route, key: number): void {
-    const { table } = this.#options.catalogue;
+    const { routingTable: table } = this.#options.catalogue;
     for (const { service } of route.parts) {
       if (table?.services.get(service)?.keyed === true) {
         this.#requestedKeys.record(service, key);
@@ -86,7 +86,8 @@
     const nowMs = this.#options.clock.readMs();
     const snapshots: ServiceSnapshot[] = [];
     for (
-      const service of this.#options.catalogue.table?.services.values() ?? []
+      const service
+        of this.#options.catalogue.routingTable?.services.values() ?? []
     ) {
       if (
         !service.keyed || this.#options.choosePartition(service.name) !== part
--- a/packages/gateway/src/requests/owner_finder.ts
+++ b/packages/gateway/src/requests/owner_finder.ts
@@ -51,7 +51,7 @@
   find(context: RequestContext): OwnerLookup {
     const { catalogue, directory } = this.#options;
     const { key } = context;
-    const service = catalogue.table?.services.get(context.service);
+    const service = catalogue.routingTable?.services.get(context.service);
     if (service?.keyed !== true || key === undefined) {
       return { kind: "found", targetId: undefined };
     }
--- a/packages/gateway/src/requests/request_quarantine.ts
+++ b/packages/gateway/src/requests/request_quarantine.ts
@@ -207,7 +207,7 @@
     this.#suspects.expire(nowMs);
     const reports = new Map<string, SuspectReport>();
     for (const [fingerprint, untilMs] of this.#recentChanges) {
-      const report = this.#suspects.describe(fingerprint, nowMs);
+      const report = this.#suspects.createReport(fingerprint, nowMs);
       if (report === undefined || nowMs > untilMs) {
         this.#recentChanges.delete(fingerprint);
       } else {
@@ -228,7 +228,7 @@
   /** Reports to all instances what this instance knows of a request. */
   #report(fingerprint: string): void {
     const nowMs = this.#options.clock.readMs();
-    const report = this.#suspects.describe(fingerprint, nowMs);
+    const report = this.#suspects.createReport(fingerprint, nowMs);
     if (report !== undefined) {
       this.#recentChanges.set(fingerprint, nowMs + REPEAT_REPORT_MS);
       this.#send([report]);
--- a/packages/gateway/src/requests/request_router.ts
+++ b/packages/gateway/src/requests/request_router.ts
@@ -45,7 +45,7 @@
   readonly limits: TargetLimits;
   readonly rateLimiter: TargetRateLimiter;
   /** Called when the known key owners of a service seem to be outdated. */
-  readonly refreshOwners: (service: string) => void;
+  readonly handleOwnerMiss: (service: string) => void;
   /** Called for each admitted request that has a key. */
   readonly observeKey: (route: Route, key: number) => void;
   readonly sender: RequestSender;
@@ -110,7 +110,7 @@
 
   #createContext(request: CallerRequest): RequestContext | FinalResponse {
     const { catalogue } = this.#options;
-    const { table } = catalogue;
+    const { routingTable: table } = catalogue;
     if (table === undefined) {
       return createFailure(
         "not-ready",
@@ -190,7 +190,7 @@
   /** Matches the request again if the configuration has changed. */
   #updateRoute(context: RequestContext): FinalResponse | undefined {
     const { catalogue, services } = this.#options;
-    const version = catalogue.table?.version ?? context.version;
+    const version = catalogue.routingTable?.version ?? context.version;
     if (version === context.version) {
       return undefined;
     }
@@ -303,7 +303,7 @@
     const nowMs = this.#options.clock.readMs();
     context.ownerMissingSinceMs ??= nowMs;
     if (nowMs - context.ownerMissingSinceMs > TYPICAL_MOVE_MS) {
-      this.#options.refreshOwners(context.service);
+      this.#options.handleOwnerMiss(context.service);
     }
     return !isLongWait &&
         nowMs - context.ownerMissingSinceMs < MAX_OWNER_WAIT_MS
@@ -325,7 +325,7 @@
     return context.request.signal.aborted ||
       (owner === undefined && catalogue.findWithdrawal(target.id) !== null) ||
       quarantine.isQuarantined(context) ||
-      catalogue.table?.version !== context.version ||
+      catalogue.routingTable?.version !== context.version ||
       currentOwner.kind === "wait" || currentOwner.targetId !== owner;
   }
 
@@ -363,8 +363,9 @@
     const outcome = await sender.send({
       targetId: placed.target.id,
       address: placed.target.address,
-      maxConnections: catalogue.table?.services.get(service)?.maxConnections ??
-        1,
+      maxConnections:
+        catalogue.routingTable?.services.get(service)?.maxConnections ??
+          1,
       requestId: request.requestId,
       ...(context.key === undefined ? {} : { key: context.key }),
       method: request.method,
@@ -395,7 +396,7 @@
       isOverdue: abortController.isOverdue(),
     });
     if (outcome.kind === "not-run" && outcome.cause === "not-owner") {
-      this.#options.refreshOwners(service);
+      this.#options.handleOwnerMiss(service);
     }
     this.#reporter.reportSend(context, {
       placed,
--- a/packages/gateway/src/requests/request_router_test.ts
+++ b/packages/gateway/src/requests/request_router_test.ts
@@ -11,7 +11,7 @@
 import { LAST_KEY } from "@lentilspur/ports/key_orders";
 import {
   applyReassignments,
-  createTable,
+  createKeyTable,
   serializeTable,
 } from "@lentilspur/ownership/key_table";
 import { AccountAdmission } from "../entry/account_admission.ts";
@@ -118,7 +118,7 @@
       limits,
       rateLimiter,
       observeKey: () => undefined,
-      refreshOwners: () => undefined,
+      handleOwnerMiss: () => undefined,
       sender: {
         send: async (request) => {
           this.sent.push(request);
@@ -333,7 +333,7 @@
   fixture.setRoute({ idempotent: true }, true);
   const [from, to] = ["a", "b"].map((id) => ({ id, address: `${id}:80` }));
   const moving = applyReassignments(
-    createTable([from!], 1),
+    createKeyTable([from!], 1),
     [{ from: 0, to: LAST_KEY, owner: to! }],
     2,
   );
@@ -352,13 +352,13 @@
   const owners = ["a", "b"].map((id) => ({ id, address: `${id}:80` }));
   fixture.directory.applyTable(
     "files",
-    serializeTable(createTable([owners[0]!], 1)),
+    serializeTable(createKeyTable([owners[0]!], 1)),
     { offset: 1, nowMs: 0 },
   );
   await fixture.send({ key: 5 });
   fixture.directory.applyTable(
     "files",
-    serializeTable(createTable([owners[1]!], 2)),
+    serializeTable(createKeyTable([owners[1]!], 2)),
     { offset: 2, nowMs: 0 },
   );
   await fixture.send({ key: 5 });
@@ -371,7 +371,7 @@
   fixture.setRoute({ idempotent: true }, true);
   fixture.directory.applyTable(
     "files",
-    serializeTable(createTable([{ id: "a", address: "a:80" }], 1)),
+    serializeTable(createKeyTable([{ id: "a", address: "a:80" }], 1)),
     { offset: 1, nowMs: 0 },
   );
   fixture.setTarget("a", true);
--- a/packages/gateway/src/requests/request_simulation.ts
+++ b/packages/gateway/src/requests/request_simulation.ts
@@ -4,7 +4,10 @@
  */
 import assert from "node:assert/strict";
 import { Ok } from "@lentilspur/outcomes/result";
-import { createTable, serializeTable } from "@lentilspur/ownership/key_table";
+import {
+  createKeyTable,
+  serializeTable,
+} from "@lentilspur/ownership/key_table";
 import {
   FakeTarget,
   type FakeTargetOptions,
@@ -234,7 +237,7 @@
       limits: components.limits,
       rateLimiter: components.rateLimiter,
       observeKey: () => undefined,
-      refreshOwners: () => undefined,
+      handleOwnerMiss: () => undefined,
       sender: { send: (request) => this.#sendToTarget(name, request) },
       getWithdrawalGraceMs: () => 1_000,
       isStopping: () => false,
@@ -428,7 +431,7 @@
     const owners = [...this.#targets.keys()].filter(isOwner)
       .map((id) => ({ id, address: `${id}:80` }));
     const offset = ++this.#token;
-    const text = serializeTable(createTable(owners, offset));
+    const text = serializeTable(createKeyTable(owners, offset));
     const nowMs = this.clock.readMs();
     for (const { directory } of this.#instances.values()) {
       directory.applyTable(SERVICE, text, { offset, nowMs });
--- a/packages/gateway/src/requests/service_registry.ts
+++ b/packages/gateway/src/requests/service_registry.ts
@@ -75,7 +75,7 @@
   update(): void {
     const { catalogue, clock } = this.#options;
     const nowMs = clock.readMs();
-    for (const name of catalogue.table?.services.keys() ?? []) {
+    for (const name of catalogue.routingTable?.services.keys() ?? []) {
       const places = this.#getPlaces(name);
       places.setTargets(catalogue.listForNewWork(name));
       places.setMaxWaiting(this.#getMaxWaiting(name));
@@ -281,7 +281,7 @@
   }
 
   #getMaxWaiting(service: string): number {
-    const { table } = this.#options.catalogue;
+    const { routingTable: table } = this.#options.catalogue;
     return table?.services.get(service)?.maxWaitingPerTarget ?? Infinity;
   }
 
@@ -295,7 +295,7 @@
   }
 
   #resolveRetryLimits(service: string): RetryLimits {
-    const { table } = this.#options.catalogue;
+    const { routingTable: table } = this.#options.catalogue;
     const ratio = table?.services.get(service)?.retryRatio ??
       this.#retryLimits.ratio;
     return { ...this.#retryLimits, ratio };
--- a/packages/gateway/src/views/catalogue.ts
+++ b/packages/gateway/src/views/catalogue.ts
@@ -79,7 +79,7 @@
   }
 
   /** The configuration in force; undefined until one has been applied. */
-  get table(): RoutingTable | undefined {
+  get routingTable(): RoutingTable | undefined {
     return this.#table;
   }
 
--- a/packages/gateway/src/views/catalogue_test.ts
+++ b/packages/gateway/src/views/catalogue_test.ts
@@ -77,7 +77,7 @@
   assert.ok(catalogue.applyConfiguration(formatTable(7)));
   assert.ok(!catalogue.applyConfiguration(formatTable(5)));
   assert.ok(!catalogue.applyConfiguration("garbage"));
-  assert.equal(catalogue.table?.version, 7);
+  assert.equal(catalogue.routingTable?.version, 7);
   assert.deepEqual(events.map(({ kind }) => kind), [
     "configuration",
     "configuration-ignored",
--- a/packages/gateway/src/views/store_views.ts
+++ b/packages/gateway/src/views/store_views.ts
@@ -179,7 +179,7 @@
 
   /** Whether both configuration and targets have been read. */
   get isLoaded(): boolean {
-    return this.#options.catalogue.table !== undefined &&
+    return this.#options.catalogue.routingTable !== undefined &&
       this.#targets.isLoaded;
   }
 
--- a/packages/gateway/src/views/store_views_test.ts
+++ b/packages/gateway/src/views/store_views_test.ts
@@ -145,7 +145,7 @@
   }
 
   get inForce(): number {
-    return this.#catalogue.table?.version ?? 0;
+    return this.#catalogue.routingTable?.version ?? 0;
   }
 
   /** Publishes the configuration in its current version, as operators do. */
--- a/packages/gateway/src/views/table_requests_test.ts
+++ b/packages/gateway/src/views/table_requests_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import {
   applyReassignments,
-  createTable,
+  createKeyTable,
   serializeTable,
 } from "@lentilspur/ownership/key_table";
 import { FakeStore } from "@lentilspur/ports/fake_store";
@@ -96,7 +96,7 @@
     id: `target-${index}`,
     address: `10.0.0.${index}:80`,
   }));
-  const before = createTable(owners, 1);
+  const before = createKeyTable(owners, 1);
   const change = { from: 0, to: 99, owner: owners[7]! };
   const after = applyReassignments(before, [change], 3);
   const simulation = new TableSimulation();
--- a/packages/gateway/src/views/view_relay_tables_test.ts
+++ b/packages/gateway/src/views/view_relay_tables_test.ts
@@ -4,7 +4,7 @@
   applyReassignments,
   applyTablePatch,
   type Assignee,
-  createTable,
+  createKeyTable,
   diffTables,
   type KeyTable,
   serializeTable,
@@ -98,7 +98,7 @@
     },
   });
   const owners = createOwners(25);
-  const before = createTable(owners, 5);
+  const before = createKeyTable(owners, 5);
   const changes = Array.from({ length: 10 }, (_, index) => ({
     from: index * 6_000,
     to: index * 6_000 + 40,
@@ -159,7 +159,7 @@
   const sent: PeerMessage[] = [];
   const partition = { topic: "owners", part: 3 };
   const owners = createOwners(6);
-  const first = createTable(owners, 1);
+  const first = createKeyTable(owners, 1);
   const change = { from: 0, to: 99, owner: owners[5]! };
   const second = applyReassignments(first, [change], 3);
   store.write(partition, "keeper", "{}");
@@ -238,7 +238,7 @@
   const sent: PeerMessage[] = [];
   const partition = { topic: "owners", part: 0 };
   const owners = createOwners(150);
-  const before = createTable(owners, 1);
+  const before = createKeyTable(owners, 1);
   const changes = owners.map((_, index) => ({
     from: index * 400,
     to: index * 400 + 30,
@@ -282,7 +282,7 @@
 
 test("applying the difference of two tables gives the later table", () => {
   const owners = ["a", "b", "c"].map((id) => ({ id, address: `${id}:1` }));
-  let table: KeyTable = createTable(owners, 1);
+  let table: KeyTable = createKeyTable(owners, 1);
   for (let token = 2; token < 60; token++) {
     const from = token * 1_009 % 60_000;
     const change = { from, to: from + 400, owner: owners[token % 3]! };
--- a/packages/ownership/src/initial_distribution_test.ts
+++ b/packages/ownership/src/initial_distribution_test.ts
@@ -5,7 +5,7 @@
 import { planReassignments } from "./key_planner.ts";
 import {
   applyReassignments,
-  createTable,
+  createKeyTable,
   findRange,
   type KeyTable,
   settleRanges,
@@ -116,8 +116,8 @@
   // since one plan makes only a dozen moves, or one per target. In this
   // simulation: 34% with one owner, 6% with an even distribution.
   const candidates = createCandidates();
-  const distributed = runLoad(createTable(candidates, 1));
-  const singleOwner = runLoad(createTable(candidates.slice(0, 1), 1));
+  const distributed = runLoad(createKeyTable(candidates, 1));
+  const singleOwner = runLoad(createKeyTable(candidates.slice(0, 1), 1));
   const share = ({ requested, rejected }: Outcome) => rejected / requested;
   assert.ok(
     share(distributed) < 0.1,
--- a/packages/ownership/src/key_keeper.ts
+++ b/packages/ownership/src/key_keeper.ts
@@ -99,7 +99,7 @@
   readonly listServiceSnapshots: () => readonly ServiceSnapshot[];
   readonly hasEnded: (holder: Holder) => boolean;
   /** Incarnations to record as witnesses, in a fixed order. */
-  readonly listWitnesses: () => readonly string[];
+  readonly listWitnessesToRecord: () => readonly string[];
   /** Earlier keepers that may still act. */
   readonly listUnresolved: () => readonly UnresolvedKeeper[];
   /**
@@ -375,7 +375,12 @@
 
   /** Records the incarnations that this keeper asks for pledges. */
   async #writeWitnesses(): Promise<void> {
-    const { clock, term, listWitnesses, listUnresolved } = this.#options;
+    const {
+      clock,
+      term,
+      listWitnessesToRecord: listWitnesses,
+      listUnresolved,
+    } = this.#options;
     const nowMs = clock.readMs();
     if (nowMs < this.#nextWitnessesAtMs || !this.#mayAct()) {
       return;
--- a/packages/ownership/src/key_keeper_test.ts
+++ b/packages/ownership/src/key_keeper_test.ts
@@ -67,7 +67,7 @@
       tables: standing.tables,
       claimSentAtMs: this.clock.readMs(),
       getPredecessor: () => predecessor,
-      listWitnesses: () => [],
+      listWitnessesToRecord: () => [],
       listUnresolved: () => [],
       hasPledges: () => this.hasPledges,
       listServiceSnapshots: () => [{
--- a/packages/ownership/src/key_planner.ts
+++ b/packages/ownership/src/key_planner.ts
@@ -11,7 +11,7 @@
 import { hasOverlap } from "@lentilspur/ports/key_orders";
 import type { KeyRate } from "./key_load.ts";
 import {
-  createTable,
+  createKeyTable,
   isSameEndpoint,
   type KeyTable,
   type OwnedRange,
@@ -134,7 +134,7 @@
   table: KeyTable,
   candidates: readonly OwnerCandidate[],
 ): readonly Reassignment[] {
-  return createTable(candidates, 0).ranges
+  return createKeyTable(candidates, 0).ranges
     .filter((assigned) =>
       table.ranges.some((range) =>
         hasOverlap(range, assigned) &&
--- a/packages/ownership/src/key_planner_test.ts
+++ b/packages/ownership/src/key_planner_test.ts
@@ -5,7 +5,7 @@
 import { planReassignments } from "./key_planner.ts";
 import {
   applyReassignments,
-  createTable,
+  createKeyTable,
   findRange,
   type KeyTable,
   settleRanges,
@@ -49,7 +49,7 @@
   const draw = createDraw();
   const candidates = createCandidates(20);
   const load = new KeyLoad();
-  let table = createTable(candidates, 1);
+  let table = createKeyTable(candidates, 1);
   let token = 1;
   let moved = 0;
   let busyAfter = Infinity;
@@ -93,7 +93,7 @@
   const draw = createDraw();
   const candidates = createCandidates(20);
   const load = new KeyLoad();
-  let table = createTable(candidates, 1);
+  let table = createKeyTable(candidates, 1);
   let moved = 0;
   for (let nowMs = 0; nowMs < 20_000; nowMs += 200) {
     load.observe(
@@ -113,7 +113,7 @@
   const candidates = createCandidates(20)
     .map((one) => ({ ...one, places: 4, serviceMs: 290 }));
   const load = new KeyLoad();
-  let table = createTable(candidates, 1);
+  let table = createKeyTable(candidates, 1);
   let changed = 0;
   for (let nowMs = 0; nowMs < 30_000; nowMs += 200) {
     // Nearly 0.62 of all places are in use.
@@ -134,7 +134,7 @@
 
 test("the keys of a lost target are shared among the others", () => {
   const [lost, ...rest] = createCandidates(4);
-  const table = createTable([lost!, ...rest], 1);
+  const table = createKeyTable([lost!, ...rest], 1);
   const changes = planReassignments(table, rest, []);
   const next = applyReassignments(table, changes, 2);
   assert.ok(next.ranges.every((range) => range.owner.id !== lost!.id));
@@ -152,7 +152,7 @@
       nowMs,
     );
   }
-  const table = createTable(candidates.slice(0, 4), 1);
+  const table = createKeyTable(candidates.slice(0, 4), 1);
   const changes = planReassignments(table, candidates, load.listRates(4_000));
   assert.ok(changes.some(({ owner }) => owner.id === "t4"));
 });
@@ -181,7 +181,7 @@
   candidates: readonly OwnerCandidate[],
   load: KeyLoad,
 ): KeyTable {
-  let table = createTable(candidates, 1);
+  let table = createKeyTable(candidates, 1);
   for (let token = 2; token < 8; token++) {
     const changes = planReassignments(table, candidates, load.listRates(4_000));
     table = settleRanges(applyReassignments(table, changes, token), () => true);
--- a/packages/ownership/src/key_table.ts
+++ b/packages/ownership/src/key_table.ts
@@ -126,7 +126,7 @@
 const MAX_INITIAL_RANGES = 400;
 
 /** Distributes all keys evenly, as the first table of a service. */
-export function createTable(
+export function createKeyTable(
   owners: readonly Assignee[],
   token: number,
 ): KeyTable {
--- a/packages/ownership/src/key_table_test.ts
+++ b/packages/ownership/src/key_table_test.ts
@@ -4,7 +4,7 @@
 import { LAST_KEY } from "@lentilspur/ports/key_orders";
 import {
   applyReassignments,
-  createTable,
+  createKeyTable,
   findRange,
   parseTable,
   serializeTable,
@@ -22,7 +22,7 @@
   });
   fc.assert(
     fc.property(fc.array(change, { maxLength: 20 }), (changes) => {
-      let table = createTable(OWNERS, 1);
+      let table = createKeyTable(OWNERS, 1);
       for (
         const [index, { from, width, owner, settles }] of changes.entries()
       ) {
@@ -44,7 +44,7 @@
 });
 
 test("a table with a gap or an invalid range is rejected", () => {
-  const table = createTable(OWNERS, 1);
+  const table = createKeyTable(OWNERS, 1);
   const text = serializeTable({ ranges: table.ranges.slice(1) });
   assert.ok(!parseTable(text).ok);
   assert.ok(!parseTable("{").ok);
--- a/packages/ownership/src/table_planner.ts
+++ b/packages/ownership/src/table_planner.ts
@@ -10,7 +10,7 @@
 import {
   applyReassignments,
   assignNewTokens,
-  createTable,
+  createKeyTable,
   isSameIncarnation,
   type KeyTable,
   settleRanges,
@@ -72,7 +72,7 @@
       return candidates.length === 0 || !this.#mayCreateTable(snapshot)
         ? undefined
         : {
-          table: createTable(candidates, token),
+          table: createKeyTable(candidates, token),
           changes: candidates.length,
         };
     }
--- a/packages/routing/src/crash_suspects.ts
+++ b/packages/routing/src/crash_suspects.ts
@@ -192,7 +192,7 @@
     return isChange;
   }
 
-  describe(fingerprint: string, nowMs: number): SuspectReport | undefined {
+  createReport(fingerprint: string, nowMs: number): SuspectReport | undefined {
     const suspect = this.#suspects.get(fingerprint);
     return suspect === undefined
       ? undefined
--- a/packages/routing/src/crash_suspects_test.ts
+++ b/packages/routing/src/crash_suspects_test.ts
@@ -73,7 +73,7 @@
 test("a response clears a request, and older reports do not restore its crashes", () => {
   const suspects = new CrashSuspects();
   recordCrashes(suspects, 3);
-  const old = suspects.describe(FATAL, 100)!;
+  const old = suspects.createReport(FATAL, 100)!;
   assert.equal(suspects.recordAnswered(FATAL, 100), 3);
   assert.equal(suspects.merge(old, 100), false);
   assert.equal(suspects.admit(FATAL, 110).kind, "admitted");
@@ -122,7 +122,7 @@
       const incarnations = [left, right].map((list) => {
         const suspects = new CrashSuspects();
         list.forEach((one) => suspects.merge(one, 100));
-        return (suspects.describe(FATAL, 100)?.crashes ?? [])
+        return (suspects.createReport(FATAL, 100)?.crashes ?? [])
           .map(([incarnation]) => incarnation).toSorted();
       });
       assert.deepEqual(incarnations[0], incarnations[1]);
