--- a/packages/trials/src/load/places_simulation.ts
+++ b/packages/trials/src/load/places_simulation.ts
@@ -24,6 +24,10 @@
   readonly perSecond: (nowMs: number) => number;
   readonly priority: number;
   readonly latencyGoalMs: number;
+  /**
+   * A request refused after more than a tenth of this time counts as refused
+   * late. The simulation does not enforce the deadline.
+   */
   readonly deadlineMs: number;
   /** Returns the only target that may run a request; absent if any target may. */
   readonly chooseOwner?: (random: TrafficRandom) => string;
@@ -90,7 +94,8 @@
   readonly #target: SimulatedTarget;
   readonly #waiting: QueuedWork[] = [];
   #running = 0;
-  maxLength = 0;
+  /** Largest number of requests so far, running and queued. */
+  maxCount = 0;
 
   constructor(events: EventQueue, target: SimulatedTarget) {
     this.#events = events;
@@ -103,8 +108,8 @@
 
   add(work: QueuedWork): void {
     this.#waiting.push(work);
-    this.maxLength = Math.max(
-      this.maxLength,
+    this.maxCount = Math.max(
+      this.maxCount,
       this.#running + this.#waiting.length,
     );
     this.#advance();
@@ -176,7 +181,7 @@
     return {
       streams: this.#streamCounts,
       maxAtTarget: Math.max(
-        ...[...this.#queues.values()].map((q) => q.maxLength),
+        ...[...this.#queues.values()].map((q) => q.maxCount),
       ),
     };
   }
@@ -203,7 +208,10 @@
     });
   }
 
-  /** Reports an instance's requests at each target and its queues to its peers. */
+  /**
+   * Reports how many requests an instance has at each target and in its queues,
+   * to the peers in its data centre or to those in others.
+   */
   #scheduleLoadReport(
     instance: number,
     intervalMs: number,
--- a/packages/trials/src/load/places_simulation_test.ts
+++ b/packages/trials/src/load/places_simulation_test.ts
@@ -13,8 +13,11 @@
 const SPEEDS = [0.6, 1, 1.4];
 const WORK_MS = 60;
 const DURATION_MS = 20_000;
-/** Requests per second of 12 targets with 2 places each, at these speeds. */
-const CAPACITY_PER_SECOND = 12 * 2 * 1_000 / WORK_MS;
+/**
+ * Requests per second of 12 targets with 2 places each at speed 1. The mean of
+ * their speeds is 0.9, so the targets serve a tenth less than this.
+ */
+const NOMINAL_CAPACITY_PER_SECOND = 12 * 2 * 1_000 / WORK_MS;
 
 function createTargets(
   getSlowness: (index: number, nowMs: number) => number = () => 1,
@@ -51,64 +54,65 @@
   return inTime / asked;
 }
 
-test("at 55% load, nearly all requests are in time and targets have short queues", () => {
+test("at 55% of the nominal capacity, over 97% of requests are in time and queues are short", () => {
   const { streams: [result], maxAtTarget } = runScenario([
-    createStream(() => 0.55 * CAPACITY_PER_SECOND),
+    createStream(() => 0.55 * NOMINAL_CAPACITY_PER_SECOND),
   ]);
   assert.ok(computeInTimeRatio(result!) > 0.97, JSON.stringify(result));
   assert.ok(maxAtTarget <= 8, `${maxAtTarget} at one target`);
 });
 
-test("at twice the capacity, three quarters of the capacity is served in time", () => {
+test("at twice the nominal capacity, over 72% of that capacity is served in time", () => {
   // Queueing gains nothing under overload: requests that cannot be in time are
   // refused at once, so that places serve callers that can still use a response.
   const { streams: [result] } = runScenario([
-    createStream(() => 2 * CAPACITY_PER_SECOND),
+    createStream(() => 2 * NOMINAL_CAPACITY_PER_SECOND),
   ]);
-  const possible = CAPACITY_PER_SECOND * DURATION_MS / 1_000;
+  const possible = NOMINAL_CAPACITY_PER_SECOND * DURATION_MS / 1_000;
   assert.ok(result!.inTime > 0.72 * possible, JSON.stringify(result));
   assert.ok(result!.late < 0.1 * result!.inTime, JSON.stringify(result));
   assert.ok(result!.refusedLate < 0.02 * result!.refused);
 });
 
-test("an overload of low priority leaves requests of high priority in time", () => {
+test("under an overload of low priority, over three quarters of the urgent requests are in time", () => {
   const urgent = {
-    ...createStream(() => 0.3 * CAPACITY_PER_SECOND),
+    ...createStream(() => 0.3 * NOMINAL_CAPACITY_PER_SECOND),
     priority: 0,
   };
   const { streams: [first, second] } = runScenario([
     urgent,
-    createStream(() => 1.5 * CAPACITY_PER_SECOND),
+    createStream(() => 1.5 * NOMINAL_CAPACITY_PER_SECOND),
   ]);
   assert.ok(computeInTimeRatio(first!) > 0.75, JSON.stringify(first));
   assert.ok(computeInTimeRatio(second!) > 0.2, JSON.stringify(second));
 });
 
-test("a burst of 1.7 times the load for 3 s leaves no lasting backlog", () => {
+test("despite a burst of 1.7 times the load for 3 s, over 90% of requests are in time", () => {
   const isBurst = (nowMs: number) => nowMs > 5_000 && nowMs < 8_000;
   const { streams: [result] } = runScenario([
     createStream((nowMs) =>
-      (isBurst(nowMs) ? 1.7 : 1) * 0.6 * CAPACITY_PER_SECOND
+      (isBurst(nowMs) ? 1.7 : 1) * 0.6 * NOMINAL_CAPACITY_PER_SECOND
     ),
   ]);
   assert.ok(computeInTimeRatio(result!) > 0.9, JSON.stringify(result));
 });
 
-test("when a sixth of the targets become five times slower, the others keep requests in time", () => {
+test("when a sixth of the targets become five times slower, over 95% of requests are in time", () => {
   const targets = createTargets((index, nowMs) =>
     index < 2 && nowMs > 5_000 ? 5 : 1
   );
   const { streams: [result] } = runScenario(
-    [createStream(() => 0.5 * CAPACITY_PER_SECOND)],
+    [createStream(() => 0.5 * NOMINAL_CAPACITY_PER_SECOND)],
     { targets },
   );
   assert.ok(computeInTimeRatio(result!) > 0.95, JSON.stringify(result));
 });
 
 test("39 instances with late load reports do not all choose one target", () => {
-  // Load reports arrive 150 ms late. If all instances choose the best-looking target, it gets
-  // twelve requests and runs two, and a full target may never respond: 83% were in time and 3%
-  // refused. With the current choice, 93% are in time and none refused.
+  // Load reports are sent every 150 ms on average, so what an instance knows of its
+  // peers is out of date. If all instances choose the target that looks best, it gets twelve requests and
+  // runs two, and a full target may never respond: 83% were in time and 3% refused. With the
+  // current choice, 93% are in time and none refused.
 
   // A large data centre at two thirds of its capacity: 17 targets of 0.5 to 1.5 times normal speed.
   const speeds = [0.5, 1, 1, 1.5];
@@ -141,11 +145,11 @@
   // Both accounts have the same weight. One sends one and a half times the
   // capacity of all targets, the other about a third of it.
   const flood: RequestStream = {
-    ...createStream(() => 1.5 * CAPACITY_PER_SECOND),
+    ...createStream(() => 1.5 * NOMINAL_CAPACITY_PER_SECOND),
     share: { clientAccount: "flood", weight: 1 },
   };
   const modest: RequestStream = {
-    ...createStream(() => 0.3 * CAPACITY_PER_SECOND),
+    ...createStream(() => 0.3 * NOMINAL_CAPACITY_PER_SECOND),
     share: { clientAccount: "modest", weight: 1 },
   };
   const fair = runScenario([flood, modest]).streams[1]!;
--- a/packages/trials/src/measure/load_measurement.ts
+++ b/packages/trials/src/measure/load_measurement.ts
@@ -14,7 +14,8 @@
   dataCentre: DATA_CENTRES[index % 3]!,
   getSpeed: () => SPEEDS[Math.floor(index / 3) % 3]!,
 }));
-const CAPACITY_PER_SECOND = TARGETS.length * 2 * 1_000 / WORK_MS;
+/** At speed 1. The mean of the targets' speeds is 0.9, so they serve a tenth less. */
+const NOMINAL_CAPACITY_PER_SECOND = TARGETS.length * 2 * 1_000 / WORK_MS;
 const DURATION_MS = 12_000;
 const SEEDS = [5, 6, 7];
 
@@ -39,7 +40,7 @@
 
 function measureRow(load: number, keyed: boolean) {
   const stream: RequestStream = {
-    perSecond: () => load * CAPACITY_PER_SECOND,
+    perSecond: () => load * NOMINAL_CAPACITY_PER_SECOND,
     priority: 1,
     latencyGoalMs: 250,
     deadlineMs: 1_500,
--- a/packages/trials/src/measure/measure_cli.ts
+++ b/packages/trials/src/measure/measure_cli.ts
@@ -10,7 +10,7 @@
 
 const MEASUREMENTS = {
   load: ["How callers are served, by load, in a simulation", measureLoad],
-  ownership: ["How long keys have no owner after a loss", measureOwnership],
+  ownership: ["How long some key has no holder after a loss", measureOwnership],
   processes: [
     "Resources that instances use at rest and per request",
     measureProcesses,
--- a/packages/trials/src/measure/ownership_measurement.ts
+++ b/packages/trials/src/measure/ownership_measurement.ts
@@ -1,4 +1,4 @@
-/** Measures how long keys have no owner after a loss, in virtual time. */
+/** Measures how long some key has no holder after a loss, in virtual time. */
 import { KeeperSimulation } from "@lentilspur/gateway/keeper/keeper_simulation";
 import type { MeasuredTable } from "./measured_table.ts";
 
@@ -6,7 +6,7 @@
 const INSTANCES = ["one", "two", "three"];
 const STEP_MS = 10;
 const DURATION_MS = 60_000;
-/** Keys whose owners are checked. */
+/** Keys whose holders are checked. */
 const KEYS = Array.from({ length: 64 }, (_, index) => index * 1_024 + 5);
 
 interface Loss {
@@ -49,7 +49,8 @@
     rows.push([loss.name, await measureUnservedMs(loss)]);
   }
   return {
-    title: "longest time that a key has no holder, 4 targets, 3 instances",
+    title:
+      "longest time in which some key has no holder, 4 targets, 3 instances",
     columns: ["loss", "ms"],
     rows,
   };
--- a/packages/trials/src/soak/faulty_link.ts
+++ b/packages/trials/src/soak/faulty_link.ts
@@ -8,9 +8,9 @@
 
 export type LinkFaultMode =
   | "passing"
-  /** Blocks bytes in both directions, also on new connections; none is closed. */
+  /** Blocks bytes in both directions, also on new connections, without closing any. */
   | "silent"
-  /** Blocks bytes from the far end. */
+  /** Blocks bytes from the far address only. */
   | "deaf"
   /** Resets all connections, including new ones. */
   | "resetting"
@@ -20,15 +20,15 @@
 const DELAY_MS = 200;
 
 export class FaultyLink {
-  readonly #target: string;
+  readonly #farAddress: string;
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
   #faultMode: LinkFaultMode = "passing";
   /** Blocked transfers, in order, which run when the link passes bytes again. */
   #blockedTransfers: (() => void)[] = [];
 
-  constructor(target: string) {
-    this.#target = target;
+  constructor(farAddress: string) {
+    this.#farAddress = farAddress;
     this.#server = createServer((near) => this.#openConnection(near));
   }
 
@@ -62,7 +62,7 @@
       near.resetAndDestroy();
       return;
     }
-    const [host = "", port = ""] = this.#target.split(":");
+    const [host = "", port = ""] = this.#farAddress.split(":");
     const far = connect(Number(port), host);
     this.#forward(near, far, ["silent"]);
     this.#forward(far, near, ["silent", "deaf"]);
--- a/packages/trials/src/soak/soak_cli.ts
+++ b/packages/trials/src/soak/soak_cli.ts
@@ -1,8 +1,9 @@
 /**
  * `npm run soak -- --seed 7 --seconds 60`: runs the real programs as processes,
- * injects overlapping faults from outside, and checks the guarantees by what
- * callers and targets recorded. The seed determines the faults and their order;
- * the moment at which a fault reaches a process depends on the machine.
+ * injects overlapping faults from outside, and checks the promises by what
+ * callers and targets recorded. The seed determines the kinds of faults, their
+ * order and the intervals between them. Which process a fault affects, how long
+ * it lasts and when it takes effect also depend on the timing of the machine.
  */
 import { mkdtempSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -83,7 +84,8 @@
   durationMs: number,
 ): Promise<void> {
   const injector = new FaultInjector(trial, createRandom("details", seed));
-  // The callers have another generator: how often they draw depends on the machine.
+  // Callers draw from another generator: how often they draw depends on the
+  // machine, and must not change the sequence of faults.
   const random = createRandom("faults", seed);
   const startedAtMs = readMonotonicMs();
   const running: Promise<void>[] = [];
--- a/packages/trials/src/standins/standin_cli.ts
+++ b/packages/trials/src/standins/standin_cli.ts
@@ -1,5 +1,5 @@
 /**
- * Starts one stand-in of the platform as a process:
+ * Starts a stand-in for the platform's store or for a target as a process:
  * `node packages/trials/dist/standins/standin_cli.js store --port 7000`. The
  * first line that it prints is a JSON object with the address it listens on.
  */
@@ -65,12 +65,12 @@
     service: option({
       long: "service",
       type: string,
-      description: "Service",
+      description: "Service that the target belongs to",
     }),
     dataCentre: option({
       long: "data-centre",
       type: string,
-      description: "Data centre",
+      description: "Data centre that the target announces",
     }),
     store: option({
       long: "store",
@@ -89,7 +89,8 @@
     }),
     unkeyed: flag({
       long: "unkeyed",
-      description: "Run requests for any key",
+      description:
+        "Run requests without checking that the target holds the key",
     }),
   },
   handler: async ({ port, store, historyFile, unkeyed, ...options }) => {
@@ -100,7 +101,7 @@
       keyed: !unkeyed,
       isFatal: ({ path }) => path?.includes(FATAL_PARAMETER) === true,
       // Like a crashed process, reports nothing and leaves its entry in the store.
-      observeCrash: () => process.exit(CRASHED),
+      observeCrash: () => process.exit(CRASH_EXIT_CODE),
       writeEntry: (key, value) =>
         void client.append({ partition: TARGETS_PARTITION, key, value }),
       observeRun: (run) => {
@@ -120,7 +121,7 @@
 });
 
 const LAST_APPEND_MS = 100;
-const CRASHED = 70;
+const CRASH_EXIT_CODE = 70;
 
 function printListening(address: string): void {
   process.stdout.write(`${JSON.stringify({ listening: address })}\n`);
--- a/packages/trials/src/start/balancer.ts
+++ b/packages/trials/src/start/balancer.ts
@@ -1,4 +1,4 @@
-/** Simulates the platform's balancer, which offers only instances that are ready. */
+/** Simulates the platform's load balancer, which lists only ready instances. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
 import type { InstanceProcess } from "./deployment_processes.ts";
--- a/packages/trials/src/start/deployment_processes.ts
+++ b/packages/trials/src/start/deployment_processes.ts
@@ -42,7 +42,10 @@
   readonly deployment: Deployment;
   /** Directory for logs and histories. */
   readonly directory: string;
-  /** Whether instances reach the store, and targets are reached, through faulty links. */
+  /**
+   * Whether instances connect to the store and to targets through proxies that
+   * can inject faults.
+   */
   readonly hasFaultyLinks: boolean;
 }
 
@@ -50,7 +53,7 @@
   readonly targets: TargetProcess[] = [];
   readonly instances: InstanceProcess[] = [];
   readonly targetExits: TargetExit[] = [];
-  /** Links by the name of the instance or target at one end. */
+  /** Proxies by the name of the instance before them or the target behind them. */
   readonly links = new Map<string, FaultyLink>();
   readonly #options: DeploymentProcessesOptions;
   readonly #storeProcesses: Child[] = [];
@@ -227,7 +230,7 @@
     this.links.forEach((link) => link.close());
   }
 
-  /** Returns the address of a new link to `address`, or `address` without links. */
+  /** Opens a proxy to `address` and returns its address; without proxies, `address`. */
   async #openLink(name: string, address: string): Promise<string> {
     if (!this.#options.hasFaultyLinks) {
       return address;
--- a/packages/trials/src/start/trial.ts
+++ b/packages/trials/src/start/trial.ts
@@ -1,6 +1,7 @@
 /**
- * Runs a small deployment from a cold start: traffic with a hot key, a target
- * that leaves, an instance that is killed and replaced, and a planned stop.
+ * Runs a deployment as processes with simulated callers, and checks the results.
+ * `runTrial` runs one from a cold start: traffic with a hot key, a target that
+ * leaves, an instance that is killed and replaced, and a planned stop.
  */
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -34,8 +35,11 @@
 const START_TIMEOUT_MS = 20_000;
 /** A published configuration must be in force on all instances within this time. */
 const IN_FORCE_TIMEOUT = "5s";
+/** Time without failures before the first one and after the last one. */
 const STEADY_TRAFFIC_MS = 3_000;
+/** Longer than `MAX_LEAVING_MS` of violations.ts, so that a run that starts too late is recorded. */
 const LEAVING_MS = 6_000;
+/** Time with the new instance before the next step. */
 const REPLACEMENT_MS = 7_000;
 /** Time for responses in flight to reach the callers' records. */
 const RESPONSE_DELAY_MS = 500;
@@ -219,7 +223,7 @@
   }
 }
 
-/** Runs the whole trial, which takes well under a minute. */
+/** Runs all steps of the trial, which take well under a minute. */
 export async function runTrial(options: TrialOptions): Promise<TrialReport> {
   const trial = new Trial(options);
   try {
--- a/packages/trials/src/start/trial_report.ts
+++ b/packages/trials/src/start/trial_report.ts
@@ -21,7 +21,8 @@
 export interface TrialReport {
   readonly deployment: string;
   readonly requests: number;
-  readonly sends: number;
+  /** Attempts of callers at these requests. */
+  readonly attempts: number;
   readonly ran: number;
   /** Requests whose last response says that they did not run. */
   readonly notRun: number;
@@ -62,15 +63,15 @@
     instanceLogFiles.map((file) => readFileSync(file, "utf8")),
   );
   const requests = groupBy(records, ({ wantedId }) => wantedId);
-  const lastOutcomes = [...requests.values()].map((sends) =>
-    sends.at(-1)!.outcome
+  const lastOutcomes = [...requests.values()].map((attempts) =>
+    attempts.at(-1)!.outcome
   );
   const count = (...outcomes: readonly CallerRecord["outcome"][]): number =>
     lastOutcomes.filter((outcome) => outcomes.includes(outcome)).length;
   return {
     deployment: results.deployment,
     requests: requests.size,
-    sends: records.length,
+    attempts: records.length,
     ran: count("ran"),
     notRun: count("not-run"),
     unknown: count("unknown", "none"),
@@ -120,7 +121,7 @@
 export function renderReport(report: TrialReport): string {
   const { violations, failedChecks, audit } = report;
   const lines = [
-    `${report.deployment}: ${report.requests} requests in ${report.sends} attempts: ` +
+    `${report.deployment}: ${report.requests} requests in ${report.attempts} attempts: ` +
     `${report.ran} ran, ${report.notRun} not run, ${report.unknown} unknown`,
     `  ${report.moves} moves, longest time unserved ${report.unservedMsMax} ms`,
     `  audit: ${audit.requests} requests, ${audit.sends} sends, ${audit.missingLines} lines missing`,
--- a/packages/trials/src/traffic/caller.ts
+++ b/packages/trials/src/traffic/caller.ts
@@ -1,6 +1,6 @@
 /**
  * Simulates one caller of a client account. It sends requests through any ready
- * instance, retries only where a second run can do no harm, and records the
+ * instance, retries only where a second run does no harm, and records the
  * result of every attempt.
  */
 import { createHash, randomUUID } from "node:crypto";
@@ -52,8 +52,10 @@
   }
 
   /**
-   * Sends until the request has run, a retry could do harm, or `MAX_ATTEMPTS`
-   * is reached; returns the record of the last attempt.
+   * Sends until the request has run, no further attempt is allowed, or
+   * `MAX_ATTEMPTS` is reached; returns the record of the last attempt. A further
+   * attempt is allowed if the response says that the request did not run and may
+   * be sent again, or if the outcome of an idempotent request is unknown.
    */
   async send(logicalRequest: LogicalRequest): Promise<CallerRecord> {
     const wantedId = randomUUID();
@@ -114,6 +116,7 @@
   #chooseInstance(): string {
     const addresses = this.#options.listReadyAddresses();
     const index = Math.floor(this.#options.random.draw() * addresses.length);
+    // Without a ready instance, the attempt fails: nothing listens on port 1.
     return addresses[index] ?? "127.0.0.1:1";
   }
 }
--- a/packages/trials/src/traffic/caller_record.ts
+++ b/packages/trials/src/traffic/caller_record.ts
@@ -4,7 +4,7 @@
   | "ran"
   | "not-run"
   | "unknown"
-  /** The connection ended without a complete response. */
+  /** No complete response with a valid outcome arrived. */
   | "none";
 
 /** One attempt at a request and its result. */
@@ -25,7 +25,7 @@
   readonly errorKind?: string;
   /** Whether the error response says that another attempt makes sense. */
   readonly mayResend?: boolean;
-  /** Whether a complete body names this request's id and path. */
+  /** Whether the body of the target's response names this request's id and path. */
   readonly isOwnAnswer?: boolean;
   /** SHA-256 of the body, in hex. */
   readonly answerDigest?: string;
--- a/packages/trials/src/traffic/deployment.ts
+++ b/packages/trials/src/traffic/deployment.ts
@@ -1,4 +1,4 @@
-/** Defines small versions of the two users' deployments. */
+/** Defines two small example deployments, modelled on those of two users. */
 
 export interface TargetGroup {
   readonly template: string;
@@ -13,7 +13,7 @@
   /** Path with the placeholder `{key}`. */
   readonly path: string;
   /** Fraction of all requests. */
-  readonly share: number;
+  readonly fraction: number;
 }
 
 export interface CallerAccount {
@@ -48,19 +48,19 @@
       template: "case-files",
       method: "GET",
       path: "/case-files/{key}",
-      share: 0.6,
+      fraction: 0.6,
     },
     {
       template: "demands",
       method: "POST",
       path: "/case-files/{key}/demands",
-      share: 0.2,
+      fraction: 0.2,
     },
     {
       template: "ledger",
       method: "POST",
       path: "/ledger/{key}/settlements",
-      share: 0.2,
+      fraction: 0.2,
     },
   ],
   accounts: [
@@ -93,19 +93,19 @@
       template: "calendars",
       method: "GET",
       path: "/calendars/{key}",
-      share: 0.6,
+      fraction: 0.6,
     },
     {
       template: "reservations",
       method: "POST",
       path: "/reservations/{key}/holds",
-      share: 0.2,
+      fraction: 0.2,
     },
     {
       template: "payments",
       method: "POST",
       path: "/payments/{key}/deposits",
-      share: 0.2,
+      fraction: 0.2,
     },
   ],
   accounts: [
--- a/packages/trials/src/traffic/fatal_request.ts
+++ b/packages/trials/src/traffic/fatal_request.ts
@@ -27,7 +27,7 @@
   };
 }
 
-/** Lists fatal requests that were sent too often after they should have been stopped. */
+/** Lists fatal requests that reached targets too often after they should have been quarantined. */
 export function listUnquarantinedRequests(
   runs: readonly TargetRun[],
 ): readonly { readonly path: string; readonly sends: number }[] {
--- a/packages/trials/src/traffic/target_limit.ts
+++ b/packages/trials/src/traffic/target_limit.ts
@@ -1,4 +1,4 @@
-/** Checks that targets receive no more requests than the rate limits they report. */
+/** Checks that targets receive no more requests than their rate limits allow. */
 import type { TargetRun } from "@lentilspur/ports/fake_target";
 import { countMaxInWindow } from "@lentilspur/ports/window_count";
 
--- a/packages/trials/src/traffic/traffic_generator.ts
+++ b/packages/trials/src/traffic/traffic_generator.ts
@@ -71,7 +71,10 @@
       .push(await this.#callers[0]!.sendOnce(markFatal(logicalRequest, name)));
   }
 
-  /** Sends one request of each kind for each key; returns whether all of them ran. */
+  /**
+   * Sends one request of each kind for each key except the hot key; returns
+   * whether all of them ran.
+   */
   async checkAllKeysServed(): Promise<boolean> {
     const [caller] = this.#callers;
     const records = await Promise.all(
@@ -97,7 +100,7 @@
     const { deployment, random } = this.#options;
     let remaining = random.draw();
     const kind = deployment.requests.find((each) => {
-      remaining -= each.share;
+      remaining -= each.fraction;
       return remaining < 0;
     }) ?? deployment.requests[0]!;
     const key = random.draw() < HOT_KEY_FRACTION
--- a/packages/trials/src/traffic/violations.ts
+++ b/packages/trials/src/traffic/violations.ts
@@ -1,5 +1,5 @@
 /**
- * Lists violations of lentilspur's guarantees by comparing the responses that
+ * Lists violations of lentilspur's promises by comparing the responses that
  * callers recorded with the runs that targets recorded. The checks use nothing
  * that instances report about themselves.
  */
@@ -43,7 +43,7 @@
 }
 
 /**
- * Longest time that a leaving target may still start runs, documented as "after
+ * Longest time that a leaving target may still start runs; documented as "after
  * a few seconds". It includes reading the target's entry and a planning round.
  */
 const MAX_LEAVING_MS = 5_000;
@@ -82,7 +82,10 @@
   return runsByRequestId.get(record.requestId ?? "") ?? [];
 }
 
-/** Counts the runs of all attempts at a request, since a retry may run as well. */
+/**
+ * Checks that a non-idempotent request ran at most once. Each attempt at it has
+ * a request id of its own, so the runs of all attempts are counted.
+ */
 function checkAtMostOnce(
   records: readonly CallerRecord[],
   runsByRequestId: RunsByRequestId,
@@ -130,7 +133,7 @@
     return record.isOwnAnswer === true && isOfRun ? [] : [{
       promise: "own-answer" as const,
       message:
-        `"${record.requestId}" received a response that none of its runs sent`,
+        `"${record.requestId}" received a response that names another request or that none of its runs sent`,
     }];
   });
 }
@@ -208,8 +211,9 @@
 }
 
 /**
- * Computes the longest time that a key went unserved: from a send that failed,
- * or whose response was slow, to the next complete response for that key.
+ * Computes the longest time that a key went unserved: from the start of the
+ * first failed attempt, or of a slow one, to the next complete response for that
+ * key.
  */
 export function computeUnservedMsMax(
   records: readonly CallerRecord[],
--- a/packages/trials/src/traffic/violations_test.ts
+++ b/packages/trials/src/traffic/violations_test.ts
@@ -43,7 +43,7 @@
   };
 }
 
-function listViolatedGuarantees(
+function listViolatedPromises(
   observations: Partial<TrialObservations>,
 ): readonly string[] {
   const whole = {
@@ -56,19 +56,19 @@
 }
 
 test("a request that ran once and got its response violates nothing", () => {
-  assert.deepEqual(listViolatedGuarantees({}), []);
+  assert.deepEqual(listViolatedPromises({}), []);
 });
 
 test("a second run of a non-idempotent request is detected", () => {
   const second = makeRun({ startedAtMs: 500, endedAtMs: 510 });
-  assert.deepEqual(listViolatedGuarantees({ runs: [makeRun(), second] }), [
+  assert.deepEqual(listViolatedPromises({ runs: [makeRun(), second] }), [
     "at-most-once",
   ]);
   const lapsed = makeRun({ ...second, ending: "lapsed" });
-  assert.deepEqual(listViolatedGuarantees({ runs: [makeRun(), lapsed] }), []);
+  assert.deepEqual(listViolatedPromises({ runs: [makeRun(), lapsed] }), []);
   const lookup = [makeRecord({ idempotent: true })];
   const runs = [makeRun(), second];
-  assert.deepEqual(listViolatedGuarantees({ records: lookup, runs }), []);
+  assert.deepEqual(listViolatedPromises({ records: lookup, runs }), []);
 });
 
 test("a retry that runs although the first attempt ran is detected", () => {
@@ -85,7 +85,7 @@
     }),
   ];
   assert.deepEqual(
-    listViolatedGuarantees({ records: [refused, again], runs }),
+    listViolatedPromises({ records: [refused, again], runs }),
     [
       "at-most-once",
       "not-run-is-true",
@@ -96,16 +96,16 @@
 test("a run before or after the report that the request did not run is detected", () => {
   const refused = makeRecord({ outcome: "not-run", errorKind: "overloaded" });
   const violated = ["not-run-is-true"];
-  assert.deepEqual(listViolatedGuarantees({ records: [refused] }), violated);
+  assert.deepEqual(listViolatedPromises({ records: [refused] }), violated);
   const late = [makeRun({ startedAtMs: 900, endedAtMs: 910 })];
   assert.deepEqual(
-    listViolatedGuarantees({ records: [refused], runs: late }),
+    listViolatedPromises({ records: [refused], runs: late }),
     violated,
   );
   const again = makeRecord({ requestId: "b" });
   const runs = [makeRun({ requestId: "b" })];
   assert.deepEqual(
-    listViolatedGuarantees({ records: [refused, again], runs }),
+    listViolatedPromises({ records: [refused, again], runs }),
     [],
   );
 });
@@ -113,16 +113,16 @@
 test("a response to another request, or from no run, is detected", () => {
   const violated = ["own-answer"];
   const foreign = [makeRecord({ isOwnAnswer: false })];
-  assert.deepEqual(listViolatedGuarantees({ records: foreign }), violated);
+  assert.deepEqual(listViolatedPromises({ records: foreign }), violated);
   const cut = [makeRecord({ answerDigest: "d2" })];
-  assert.deepEqual(listViolatedGuarantees({ records: cut }), violated);
+  assert.deepEqual(listViolatedPromises({ records: cut }), violated);
 });
 
 test("the response of a run whose hold expired counts as its own", () => {
   const failed = makeRecord({ status: 500 });
   const lapsed = makeRun({ ending: "lapsed" });
   assert.deepEqual(
-    listViolatedGuarantees({ records: [failed], runs: [lapsed] }),
+    listViolatedPromises({ records: [failed], runs: [lapsed] }),
     [],
   );
 });
@@ -130,19 +130,19 @@
 test("two targets that run one key at the same time are detected", () => {
   const other = makeRun({ target: "t2", requestId: "b", startedAtMs: 119 });
   const runs = [makeRun(), other];
-  assert.deepEqual(listViolatedGuarantees({ runs }), ["sole-owner"]);
+  assert.deepEqual(listViolatedPromises({ runs }), ["sole-owner"]);
   const after = { ...other, startedAtMs: 121, endedAtMs: 125 };
-  assert.deepEqual(listViolatedGuarantees({ runs: [makeRun(), after] }), []);
+  assert.deepEqual(listViolatedPromises({ runs: [makeRun(), after] }), []);
 });
 
 test("a run on a target that announced its leaving long before is detected", () => {
   const createLeaving = (atMs: number) => [{ target: "t1", atMs }];
   assert.deepEqual(
-    listViolatedGuarantees({ leavingTargets: createLeaving(0) }),
+    listViolatedPromises({ leavingTargets: createLeaving(0) }),
     [],
   );
   assert.deepEqual(
-    listViolatedGuarantees({ leavingTargets: createLeaving(-5_000) }),
+    listViolatedPromises({ leavingTargets: createLeaving(-5_000) }),
     [
       "leaving-target",
     ],
@@ -154,7 +154,7 @@
   // announced that it leaves, so its entry reached the store after the outage.
   const leavingTargets = [{ target: "t1", atMs: -6_000 }];
   const list = (fromMs: number, toMs: number) =>
-    listViolatedGuarantees({
+    listViolatedPromises({
       leavingTargets,
       storeOutages: [{ fromMs, toMs }],
     });
@@ -190,11 +190,11 @@
 test("a request that keeps crashing targets is detected", () => {
   const times = [0, 1_000, 2_000, 5_500, 6_500, 7_500, 8_500];
   const runs = makeRuns(times, "/files/1?fatal=1");
-  assert.deepEqual(listViolatedGuarantees({ records: [], runs }), [
+  assert.deepEqual(listViolatedPromises({ records: [], runs }), [
     "fatal-request",
   ]);
   const stopped = runs.slice(0, 6);
-  assert.deepEqual(listViolatedGuarantees({ records: [], runs: stopped }), []);
+  assert.deepEqual(listViolatedPromises({ records: [], runs: stopped }), []);
 });
 
 test("a target that receives more requests than its limit allows is detected", () => {
@@ -203,13 +203,13 @@
   const many = makeRuns(times);
   const few = makeRuns(times.filter((_, index) => index % 2 === 0));
   assert.deepEqual(
-    listViolatedGuarantees({ records: [], runs: many, rateLimits: [period] }),
+    listViolatedPromises({ records: [], runs: many, rateLimits: [period] }),
     [
       "target-limit",
     ],
   );
   assert.deepEqual(
-    listViolatedGuarantees({ records: [], runs: few, rateLimits: [period] }),
+    listViolatedPromises({ records: [], runs: few, rateLimits: [period] }),
     [],
   );
 });
