--- a/packages/gateway/src/entry/account_admission.ts
+++ b/packages/gateway/src/entry/account_admission.ts
@@ -55,7 +55,10 @@
     }
   }
 
-  /** Admits or refuses a request; call `release` once an admitted one is answered. */
+  /**
+   * Admits or refuses a request; call `release` once an admitted one is
+   * answered.
+   */
   admit(credential: string | undefined, service: string): Admission {
     if (this.isOpen) {
       return { kind: "open" };
--- a/packages/gateway/src/entry/account_demands.ts
+++ b/packages/gateway/src/entry/account_demands.ts
@@ -1,10 +1,12 @@
 /**
  * Divides an account's rate among the instances by the demand at each of them.
  *
- * Load pattern: a caller keeps one connection, so all its requests reach one
- * instance. With an equal part of the account's rate there, the caller would be
- * refused well within its limits. Instances report their demands to each other
- * twice a second; an instance whose reports stop arriving no longer counts.
+ * Failure case: a caller keeps one connection, so all its requests reach one
+ * instance. If every instance had an equal part of the account's rate, the
+ * caller would be refused well within its limits.
+ *
+ * Instances report their demands to each other twice a second; an instance
+ * whose reports stop arriving no longer counts.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import { sleepUntilTick } from "@lentilspur/ports/tick";
@@ -26,7 +28,7 @@
   readonly send: (member: Member, message: PeerMessage) => void;
 }
 
-/** Report interval: a tenth of the time in which an account's burst is usually used. */
+/** A tenth of the time in which an account's burst is usually used up. */
 const REPORT_INTERVAL_MS = 500;
 /** An instance counts as gone after ten reports in a row were lost. */
 const PEER_TTL_MS = 5_000;
--- a/packages/gateway/src/entry/caller_request.ts
+++ b/packages/gateway/src/entry/caller_request.ts
@@ -3,7 +3,9 @@
 import type { HeaderField } from "@lentilspur/ports/header_field";
 import type { TargetResponse } from "@lentilspur/ports/request_sender";
 
-/** Values that callers send in headers; the adapter defines the headers' names. */
+/**
+ * Values that callers send in headers; the adapter defines the headers' names.
+ */
 export interface RequestMetadata {
   /**
    * Identifies the caller's request; a retry by the caller has another id.
--- a/packages/gateway/src/entry/graceful_shutdown.ts
+++ b/packages/gateway/src/entry/graceful_shutdown.ts
@@ -5,7 +5,9 @@
 
 /** Times of a graceful shutdown, counted from the signal. */
 export interface ShutdownTiming {
-  /** How long no request may have arrived before the instance counts as drained. */
+  /**
+   * How long no request may have arrived before the instance counts as drained.
+   */
   readonly quietMs: number;
   /** After this, new requests are refused. */
   readonly refuseAfterMs: number;
@@ -15,11 +17,14 @@
 
 /** The process ends by itself this long before it is killed. */
 const STOP_MARGIN_MS = 400;
-/** Value of `quietMs`: callers still send requests for some seconds after the signal. */
+/**
+ * Value of `quietMs`: callers still send requests for some seconds after the
+ * signal.
+ */
 const IDLE_MS = 3_000;
 /**
- * A request that starts at least this long before the process is killed can still
- * finish, since deadlines are about 2 s.
+ * A request that starts at least this long before the process is killed can
+ * still finish, since deadlines are about 2 s.
  */
 const LAST_REQUEST_MS = 2_300;
 /** With a shorter grace period no request could finish before the kill. */
--- a/packages/gateway/src/entry/monitoring_server.ts
+++ b/packages/gateway/src/entry/monitoring_server.ts
@@ -1,4 +1,6 @@
-/** Serves readiness, status and metrics over HTTP, apart from the callers' port. */
+/**
+ * Serves readiness, status and metrics over HTTP, apart from the callers' port.
+ */
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
 
--- a/packages/gateway/src/entry/request_metadata.ts
+++ b/packages/gateway/src/entry/request_metadata.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the request headers of lentilspur's own interface: the credential of the
- * client account, and optionally how long the caller waits. The caller receives
- * the id of its request in return.
+ * Reads the request headers of lentilspur's own interface: the credential of
+ * the client account, and optionally how long the caller waits. The caller
+ * receives the id of its request in return.
  */
 import type { HeaderField } from "@lentilspur/ports/header_field";
 import type { RequestMetadata } from "./caller_request.ts";
@@ -32,7 +32,10 @@
   };
 }
 
-/** Returns undefined for an invalid deadline, so that the route's default applies. */
+/**
+ * Returns undefined for an invalid deadline, so that the route's default
+ * applies.
+ */
 function parseDeadline(text: string | undefined): number | undefined {
   return text !== undefined && /^[0-9]{1,9}$/.test(text)
     ? Number(text)
--- a/packages/gateway/src/entry/request_server.ts
+++ b/packages/gateway/src/entry/request_server.ts
@@ -49,9 +49,15 @@
   headTimeoutMs: 5_000,
   idleTimeoutMs: 15_000,
 };
-/** Above the header limit of any configuration; Node's limit is fixed at the start. */
+/**
+ * Above the header limit of any configuration; Node's limit is fixed at the
+ * start.
+ */
 const MAX_HEAD_BYTES = 64 * 1024;
-/** Time to receive a body within the limits; a slow phone network needs some seconds. */
+/**
+ * Time to receive a body within the limits; a slow phone network needs some
+ * seconds.
+ */
 const BODY_TIMEOUT_MS = 10_000;
 const CHECK_INTERVAL_MS = 1_000;
 /** Statuses whose responses have no body (RFC 9110). */
@@ -347,7 +353,9 @@
   response.end(body);
 }
 
-/** Answers a request that is not valid HTTP, if the connection still allows it. */
+/**
+ * Answers a request that is not valid HTTP, if the connection still allows it.
+ */
 function answerInvalidRequest(
   error: NodeJS.ErrnoException,
   socket: Socket,
--- a/packages/gateway/src/entry/request_server_test.ts
+++ b/packages/gateway/src/entry/request_server_test.ts
@@ -13,7 +13,10 @@
   isSelfDelimited: true,
 };
 
-/** Writes `text` on one connection and returns all that it receives until the end. */
+/**
+ * Writes `text` on one connection and returns all that it receives until the
+ * end.
+ */
 async function sendRaw(
   text: string,
   handle: (request: CallerRequest) => FinalResponse | Promise<FinalResponse>,
@@ -59,8 +62,8 @@
 });
 
 test("a request that is smuggled within another is refused with it", async () => {
-  // The request has two lengths that disagree: one server would read as the body
-  // what another reads as a separate request.
+  // The request has two lengths that disagree: one server would read as the
+  // body what another reads as a separate request.
   const text = "POST / HTTP/1.1\r\nHost: a\r\nx-id: 1\r\n" +
     "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" +
     "0\r\n\r\nGET /other HTTP/1.1\r\nHost: a\r\nx-id: 2\r\n\r\n";
--- a/packages/gateway/src/keeper/keeper_exchange.ts
+++ b/packages/gateway/src/keeper/keeper_exchange.ts
@@ -3,11 +3,11 @@
  * to the records in the store: whether a keeper that cannot reach the store may
  * keep acting, and whether a replaced keeper has stopped.
  *
- * Failure case: the store answers some instances, but does not answer the keeper
- * for 9 s. Without these messages, the successor would have to wait for as long
- * as the keeper may act without the store. Each key that moved meanwhile would
- * have no holder for the duration of a hold. In such a run, a quarter of all
- * requests were refused for 23 s.
+ * Failure case: the store answers some instances, but does not answer the
+ * keeper for 9 s. Without these messages, the successor would have to wait for
+ * as long as the keeper may act without the store. Each key that moved
+ * meanwhile would have no holder for the duration of a hold. In such a run, a
+ * quarter of all requests were refused for 23 s.
  *
  * Each message is sent again until it is answered, since a datagram may be
  * lost.
--- a/packages/gateway/src/keeper/keeper_service.ts
+++ b/packages/gateway/src/keeper/keeper_service.ts
@@ -2,11 +2,11 @@
  * Decides when this instance is the keeper of a partition of the ownership
  * table.
  *
- * That the store's group assigns the partition to this instance is only a hint
- * to claim. An instance becomes the keeper when the store accepts its claim,
- * which is a record in the partition. A keeper whose partition is assigned to
- * another instance hands over: it stops and writes a resignation into the
- * partition, so that its successor does not need to wait.
+ * An assignment of the partition by the store's group is only a hint to claim
+ * it. An instance becomes the keeper when the store accepts its claim, which is
+ * a record in the partition. A keeper whose partition is assigned to another
+ * instance hands over: it stops and writes a resignation into the partition, so
+ * that its successor does not need to wait.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { KeyOrderSender } from "@lentilspur/ports/key_orders";
@@ -105,11 +105,11 @@
   /** Whether an instance has sent a datagram recently. */
   readonly isAlive: (instance: string) => boolean;
   /**
-   * The other live instances that send heartbeats to all data centres, each with
-   * its current incarnation. All keeper candidates are among them, and this
-   * instance's keepers name them as witnesses. A successor that is not listed was
-   * not a witness, so it waits until the keeper has stopped for certain, which is
-   * after `maxAuthorityMs` at the latest.
+   * The other live instances that send heartbeats to all data centres, each
+   * with its current incarnation. All keeper candidates are among them, and
+   * this instance's keepers name them as witnesses. A successor that is not
+   * listed was not a witness, so it waits until the keeper has stopped for
+   * certain, which is after `maxAuthorityMs` at the latest.
    */
   readonly listGlobalHeartbeatSenders: () => readonly KeeperClaim[];
   /** Whether this instance is a keeper candidate. */
@@ -149,8 +149,8 @@
 const STORE_CONTACT_TTL_MS = 1_200;
 /**
  * How long a live predecessor may take to hand over before it is replaced. A
- * predecessor that has asked for a pledge within this time counts as cut off from
- * the store.
+ * predecessor that has asked for a pledge within this time counts as cut off
+ * from the store.
  */
 const HANDOVER_TIMEOUT_MS = 1_500;
 
@@ -386,7 +386,8 @@
   }
 
   /**
-   * The next claimant may have no other way to learn when this keeper stopped.
+   * Notifies all heartbeat senders that the keeper has stopped: the next
+   * claimant may have no other way to learn it.
    */
   #sendStopped(part: number, keeper: KeyKeeper): void {
     this.#exchange.sendStopped(part, keeper, this.#listHeartbeatSenders());
@@ -414,8 +415,8 @@
   }
 
   /**
-   * Whether the keeper has asked for a pledge recently, which means that it cannot
-   * reach the store and so will write no resignation.
+   * Whether the keeper has asked for a pledge recently, which means that it
+   * cannot reach the store and so will write no resignation.
    */
   #isKeeperWithoutStore(part: number): boolean {
     const requestedAtMs = this.#exchange.getPledgeRequestedAtMs(part);
@@ -540,8 +541,8 @@
   }
 
   /**
-   * Whether another process's claim may still be in force. A record that cannot be
-   * read counts as such a claim.
+   * Whether another process's claim may still be in force. A record that cannot
+   * be read counts as such a claim.
    */
   #hasActiveClaim(view: PartitionView): boolean {
     const { claim: own, hasInstanceEnded } = this.#options;
--- a/packages/gateway/src/keeper/keeper_service_test.ts
+++ b/packages/gateway/src/keeper/keeper_service_test.ts
@@ -196,8 +196,8 @@
 
 test("a stop notice for an earlier claim does not cover the keeper's next claim", async () => {
   // A replaced keeper reports that it has stopped, claims again later and is
-  // then cut off from all but target "a". If the old stop notice covered the new
-  // claim, two targets would hold the keys of "a" (for 1.2 s).
+  // then cut off from all but target "a". If the old stop notice covered the
+  // new claim, two targets would hold the keys of "a" (for 1.2 s).
   const simulation = new KeeperSimulation(["a", "b"]);
   simulation.start("one");
   await simulation.clock.advance(6_000);
--- a/packages/gateway/src/keeper/key_traffic.ts
+++ b/packages/gateway/src/keeper/key_traffic.ts
@@ -39,9 +39,9 @@
 const SERVICE_TIMES_PER_REPORT = 10;
 /**
  * Weight of a new report in the moving average of a service time. Service times
- * are reported in rotation, so with 100 targets, each of a dozen instances reports
- * one target about twice in 4 s. Averaging over several reports evens out single
- * measurements.
+ * are reported in rotation, so with 100 targets, each of a dozen instances
+ * reports one target about twice in 4 s. Averaging over several reports evens
+ * out single measurements.
  */
 const REPORT_WEIGHT = 0.3;
 /** Service time before the first measurement; about that of a read request. */
--- a/packages/gateway/src/keeper/partition_assignment.ts
+++ b/packages/gateway/src/keeper/partition_assignment.ts
@@ -50,13 +50,15 @@
 
 export class PartitionAssignment {
   readonly #options: PartitionAssignmentOptions;
-  /** When this instance learned of the assignment of each partition; own clock. */
+  /**
+   * When this instance learned of the assignment of each partition; own clock.
+   */
   readonly #assignedAtMs = new Map<number, number>();
   readonly #ttlMs: number;
   #lastJoinedAtMs = -Infinity;
   /**
-   * Generation of the group's assignment, as the store last returned it; 0 before
-   * this instance has joined the group and after it has left.
+   * Generation of the group's assignment, as the store last returned it; 0
+   * before this instance has joined the group and after it has left.
    */
   #generation = 0;
   #isLeaving = false;
--- a/packages/gateway/src/keeper/predecessor_tracker.ts
+++ b/packages/gateway/src/keeper/predecessor_tracker.ts
@@ -78,8 +78,8 @@
   }
 
   /**
-   * The predecessors that may have sent orders whose holds are still in force, as
-   * records name them.
+   * The predecessors that may have sent orders whose holds are still in force,
+   * as records name them.
    */
   listUnresolved(): readonly UnresolvedKeeper[] {
     return this.#listUnresolvedStates().map(({ keeper }) =>
@@ -87,7 +87,9 @@
     );
   }
 
-  /** The unresolved predecessors, each with its state and the time left to wait. */
+  /**
+   * The unresolved predecessors, each with its state and the time left to wait.
+   */
   describeUnresolved(): readonly UnresolvedPredecessor[] {
     return this.#listUnresolvedStates().map(({ keeper, kind, leftMs }) => {
       const { instance, incarnation, term } = keeper;
@@ -102,8 +104,8 @@
 
   /**
    * Combines the states of all predecessors: the kind that is least certain to
-   * have stopped, and the latest time at which any of them may have sent an order
-   * to a target.
+   * have stopped, and the latest time at which any of them may have sent an
+   * order to a target.
    */
   computeState(): PredecessorState {
     const states = this.#predecessors.map((keeper) =>
@@ -187,8 +189,8 @@
    * Latest time at which a keeper that has sent no stop notice may have acted.
    *
    * A keeper that names this instance as a witness needs its pledge to act for
-   * longer than `authorityMs`, so the last pledge that this instance gave is the
-   * bound. A keeper that does not name this instance may act for up to
+   * longer than `authorityMs`, so the last pledge that this instance gave is
+   * the bound. A keeper that does not name this instance may act for up to
    * `maxAuthorityMs`.
    */
   #computeLatestOrderMs(
--- a/packages/gateway/src/keeper/suspension_detector.ts
+++ b/packages/gateway/src/keeper/suspension_detector.ts
@@ -6,8 +6,8 @@
  * on. So a jump of the time of day against the steady clock is either a step of
  * the clock or a suspension. The jump is never used to measure time; it only
  * invalidates earlier reads of the store as proof that there is no newer claim.
- * The check runs before each action, since a timer may fire after the action that
- * it should have prevented.
+ * The check runs before each action, since a timer may fire after the action
+ * that it should have prevented.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Returns the time of the last suspected suspension, before which reads of the
-   * store prove nothing; own clock.
+   * Returns the time of the last suspected suspension, before which reads of
+   * the store prove nothing; own clock.
    */
   checkTrustedSinceMs(): number {
     const differenceMs = this.#readWallMs() - this.#clock.readMs();
--- a/packages/gateway/src/requests/cold_targets_test.ts
+++ b/packages/gateway/src/requests/cold_targets_test.ts
@@ -8,7 +8,7 @@
 } from "./request_simulation.ts";
 
 const COLD_PER_SECOND = 5;
-/** Limit in any second: 1.5 times the rate, and eight requests. */
+/** Most requests in any second: 1.5 times the cold rate, plus eight. */
 const MAX_REQUESTS = 1.5 * COLD_PER_SECOND + 8;
 const COLD_MS = 8_000;
 
@@ -48,7 +48,7 @@
   );
 }
 
-test("a cold target that owns keys receives requests at its full cold rate", async () => {
+test("a cold target that owns keys receives most of the requests that its cold rate allows", async () => {
   const simulation = createColdSimulation();
   await sendLoad(simulation, { forMs: COLD_MS });
   assertWithinLimit(simulation);
@@ -71,7 +71,7 @@
   assertUsed(simulation);
 });
 
-/** Sends the usual load when a third of the targets have returned, cold or warm. */
+/** Sends load after a third of the targets have returned, cold or warm. */
 async function measureReturn(isCold: boolean) {
   const instances = listInstances(60);
   const simulation = new RequestSimulation({
@@ -141,7 +141,7 @@
   assert.ok(late <= 1.5 * perSecond * 5 + 5, `${late} requests in 5 s`);
 });
 
-test("a target that is warm again receives its full share of requests", async () => {
+test("a target that is warm again receives more requests than its cold rate allows", async () => {
   const simulation = createColdSimulation();
   await sendLoad(simulation, { forMs: COLD_MS });
   await sendLoad(simulation, { forMs: 3_000 });
--- a/packages/gateway/src/requests/latest_start.ts
+++ b/packages/gateway/src/requests/latest_start.ts
@@ -1,17 +1,23 @@
 /**
- * Computes the latest start at which a request is still answered within the
- * route's goal.
+ * Computes the latest time at which a request may be sent to a target, so that
+ * it is usually answered before its deadline and within the route's goal.
  *
- * Load pattern: for seconds, more requests arrive than the targets can process.
- * A request that starts later takes a place from one that could still be in
- * time. If it is refused at once instead, its caller can retry.
+ * Failure case: for seconds, more requests arrive than the targets can process,
+ * and a request that starts too late takes a place from one that could still be
+ * in time. If it is refused at once instead, its caller can retry.
  */
 import type { RequestContext } from "./request_context.ts";
 
-/** A request that takes nearly the whole goal may still wait for this share of it. */
+/**
+ * Share of the goal that a request may wait even if its processing takes nearly
+ * the whole goal.
+ */
 const MIN_WAIT_SHARE = 0.3;
 
-/** Returns a time on this instance's clock; `serviceMs` is the usual processing time. */
+/**
+ * Returns a time on this instance's clock; `serviceMs` is the usual processing
+ * time.
+ */
 export function computeLatestStart(
   context: RequestContext,
   serviceMs: number,
--- a/packages/gateway/src/requests/outcome_handler.ts
+++ b/packages/gateway/src/requests/outcome_handler.ts
@@ -1,7 +1,7 @@
 /**
  * Decides from the outcome of a send whether the request is answered, sent
  * again or failed. A request is sent again only on proof that it has not run,
- * or if it may run twice.
+ * or if its route is idempotent.
  */
 import type { Clock } from "@lentilspur/ports/clock";
 import type { SendOutcome } from "@lentilspur/ports/request_sender";
@@ -22,8 +22,9 @@
 /** Delay after which the caller of a refused request may retry. */
 export const REFUSED_RETRY_MS = 100;
 /**
- * Delay after which a target that does not hold the key is tried again. After
- * any other refusal, the request goes to another target at once.
+ * Delay after a target refused a request because it does not hold the key; the
+ * owner is then looked up again. After any other refusal, the request goes to
+ * another target at once.
  */
 const NOT_OWNER_PAUSE_MS = 60;
 
@@ -73,8 +74,8 @@
     if (outcome.cause !== "not-owner") {
       context.excludedTargets.add(target.id);
     }
-    // A request that could not be sent adds no load, so it needs no retry budget. It
-    // still counts towards the route's `maxAttempts`.
+    // A request that could not be sent adds no load, so it needs no retry
+    // budget. It still counts towards the route's `maxAttempts`.
     if (!isUnreachable && !this.claimRetry(context)) {
       return { kind: "done", response: this.createFinalFailure(context) };
     }
@@ -166,14 +167,20 @@
       : createFailure("quarantined", message, retryAfterMs);
   }
 
-  /** Creates the final response of a request whose only trial got no response. */
+  /**
+   * Creates the final response of a request whose only trial was refused or got
+   * no response.
+   */
   createTrialResponse(context: RequestContext): FinalResponse {
     return context.mayHaveRun
       ? createFailure("answer-lost", "The answer was lost again")
       : this.createFinalFailure(context);
   }
 
-  /** Excludes a target at its rate limit, or fails the request if it owns the key. */
+  /**
+   * Excludes a target at its rate limit, or fails the request if it owns the
+   * key.
+   */
   handleOverLimit(context: RequestContext, refused: {
     readonly target: RoutingTarget;
     readonly retryAfterMs: number;
@@ -193,8 +200,8 @@
   }
 
   /**
-   * Creates the failure of a request that is not sent again: its last refusal, or
-   * `answer-late` if a target may have run it.
+   * Creates the failure of a request that is not sent again: its last refusal,
+   * or `answer-late` if a target may have run it.
    */
   createFinalFailure(context: RequestContext): FinalResponse {
     if (context.mayHaveRun) {
--- a/packages/gateway/src/requests/owner_finder.ts
+++ b/packages/gateway/src/requests/owner_finder.ts
@@ -17,7 +17,9 @@
   }
   | {
     readonly kind: "wait";
-    /** Whether the key will not have an owner soon, so that waiting is useless. */
+    /**
+     * Whether the key will not have an owner soon, so that waiting is useless.
+     */
     readonly isLongWait: boolean;
   };
 
@@ -27,7 +29,8 @@
 /**
  * A move that takes longer waits for an unreachable holder, which takes
  * seconds. Failure case: a third of the targets fail at once, and every request
- * for one of their keys would wait 0.3 s, be refused, be retried and wait again.
+ * for one of their keys would wait 0.3 s, be refused, be retried and wait
+ * again.
  */
 const LONG_MOVE_MS = 400;
 /** About the longest delay after which a retry is still answered in time. */
@@ -79,8 +82,8 @@
 
   /**
    * Returns why an owner may not be used, or undefined if it may. A withdrawn
-   * owner serves its keys until they have moved, but only for a limited time: if
-   * the move fails, no request may go to a target that is about to end.
+   * owner serves its keys until they have moved, but only for a limited time:
+   * if the move fails, no request may go to a target that is about to end.
    */
   #findUnusableReason(id: string): WithdrawalReason | "gone" | undefined {
     const { catalogue, clock, getWithdrawalGraceMs } = this.#options;
--- a/packages/gateway/src/requests/path_key.ts
+++ b/packages/gateway/src/requests/path_key.ts
@@ -6,7 +6,8 @@
 
 /**
  * Returns the same number on every instance, and for every spelling of a path
- * segment: `case%2D9` and `case-9` name one key, which must not have two owners.
+ * segment: `case%2D9` and `case-9` name one key, which must not have two
+ * owners.
  */
 export function hashPathKey(text: string): number {
   const digest = hash("sha256", decodeSegment(text), "hex");
--- a/packages/gateway/src/requests/request_context.ts
+++ b/packages/gateway/src/requests/request_context.ts
@@ -5,8 +5,9 @@
 import type { CallerRequest, FinalResponse } from "../entry/caller_request.ts";
 import { computeFingerprint } from "./request_fingerprint.ts";
 
-/** A caller is asked to wait for about a third of its remaining time at most. */
+/** Largest share of its remaining time that a caller is asked to wait. */
 const MAX_RETRY_AFTER_SHARE = 0.3;
+
 /** The mutable state of one request. */
 export interface RequestContext {
   readonly request: CallerRequest;
--- a/packages/gateway/src/requests/request_quarantine.ts
+++ b/packages/gateway/src/requests/request_quarantine.ts
@@ -2,9 +2,9 @@
  * Quarantines requests that crash their targets, so that no instance sends them
  * to further targets.
  *
- * An instance detects that a target ended while it ran a request from its own
- * sends and from the targets' entries. It reports the crash to all instances at
- * once, and repeats the report so that every instance receives it.
+ * From its own sends and the targets' entries, an instance detects that a
+ * target ended while it ran a request. The instance reports the crash to all
+ * others at once, and repeats the report so that every instance receives it.
  */
 import {
   isSuccessful,
@@ -47,7 +47,10 @@
     readonly fingerprint: string;
     readonly requestId: string;
   }
-  /** The request was answered: the crashes had other causes, or the cause is gone. */
+  /**
+   * The request was answered: the crashes had other causes, or the cause is
+   * gone.
+   */
   | {
     readonly kind: "cleared";
     readonly fingerprint: string;
@@ -72,7 +75,10 @@
 }
 
 const TICK_MS = 500;
-/** Interval of the reports for instances that have just started. */
+/**
+ * Interval at which the local reader reports quarantined and cleared requests,
+ * for instances that have just started.
+ */
 const LIST_INTERVAL_MS = 1_000;
 /** How long this instance repeats the report of a change that it observed. */
 const REPEAT_REPORT_MS = 3_000;
@@ -83,7 +89,7 @@
   readonly #options: RequestQuarantineOptions;
   readonly #unansweredSends = new UnansweredSends();
   readonly #suspects = new CrashSuspects();
-  /** Until when to report a change that this instance observed, by fingerprint. */
+  /** End of the repeated reports of an observed change, by fingerprint. */
   readonly #recentChanges = new Map<string, number>();
   #lastListedAtMs = -Infinity;
 
@@ -149,7 +155,10 @@
     }
   }
 
-  /** A target has ended if its entry is gone or names another incarnation. */
+  /**
+   * Records a crash if the event shows that a target has ended: its entry is
+   * gone or names another incarnation.
+   */
   handleCatalogueEvent(event: CatalogueEvent): void {
     if (event.kind !== "target") {
       return;
--- a/packages/gateway/src/requests/request_quarantine_test.ts
+++ b/packages/gateway/src/requests/request_quarantine_test.ts
@@ -111,7 +111,7 @@
   assert.ok(countLateSends(simulation) <= ALLOWED_SENDS);
 });
 
-test("a quarantined request is answered with the time of its trial", async () => {
+test("a quarantined request is refused with a retry delay that lasts until its trial", async () => {
   const simulation = createSimulation(true);
   await sendRepeatedly(simulation, { everyMs: 3_300, count: 4 });
   const response = await sendOnce(simulation, "yeka-1", FATAL);
--- a/packages/gateway/src/requests/request_reporter.ts
+++ b/packages/gateway/src/requests/request_reporter.ts
@@ -29,7 +29,9 @@
     readonly cause?: string;
     readonly status?: number;
     readonly tookMs: number;
-    /** Requests per second that the target accepts from all instances together. */
+    /**
+     * Requests per second that the target accepts from all instances together.
+     */
     readonly limitPerSecond?: number;
     /** Same for all retries by the caller; given if the outcome is unknown. */
     readonly fingerprint?: string;
--- a/packages/gateway/src/requests/request_router.ts
+++ b/packages/gateway/src/requests/request_router.ts
@@ -1,7 +1,7 @@
 /**
- * Routes a request from its arrival to its final response: matches its route and
- * service, waits for a place at a target that may run it, sends it, and decides
- * from the outcome whether to answer, to retry or to fail.
+ * Routes a request from its arrival to its final response: matches its route
+ * and service, waits for a place at a target that may run it, sends it, and
+ * decides from the outcome whether to answer, to retry or to fail.
  *
  * A request that is not idempotent is sent a second time only on proof that the
  * first send did not run. The route is matched again before each send if the
@@ -51,7 +51,9 @@
   readonly sender: RequestSender;
   /** How long after its withdrawal an owner may still be sent requests. */
   readonly getWithdrawalGraceMs: (reason: WithdrawalReason) => number;
-  /** Whether this instance is shutting down; it then aborts no overdue sends. */
+  /**
+   * Whether this instance is shutting down; it then aborts no overdue sends.
+   */
   readonly isStopping: () => boolean;
   readonly observe: (event: RequestEvent) => void;
 }
@@ -80,7 +82,9 @@
  * request may be sent again. Processing times have long tails.
  */
 const OVERDUE_FACTOR = 4;
-/** No response is overdue earlier, since latency and a busy CPU delay it too. */
+/**
+ * No response is overdue earlier, since latency and a busy CPU delay it too.
+ */
 const MIN_OVERDUE_MS = 200;
 
 export class RequestRouter {
@@ -280,7 +284,10 @@
       });
   }
 
-  /** Waits for a permit if the target has a rate limit, which all instances share. */
+  /**
+   * Waits for a permit if the target has a rate limit, which all instances
+   * share.
+   */
   async #waitForPermit(
     context: RequestContext,
     target: RoutingTarget,
@@ -314,7 +321,9 @@
       };
   }
 
-  /** Whether the choice of the target became invalid while the request waited. */
+  /**
+   * Whether the choice of the target became invalid while the request waited.
+   */
   #isOutdated(
     context: RequestContext,
     target: RoutingTarget,
@@ -414,10 +423,10 @@
   }
 
   /**
-   * Aborts a send whose response is overdue, if the request may be sent again and
-   * the retry budget allows it at that moment; otherwise the send goes on. Failure
-   * case: targets lose 3% to 40% of their responses, and the caller of an idempotent
-   * request whose response is lost would wait until the deadline.
+   * Aborts a send whose response is overdue, if the request may be sent again
+   * and the retry budget allows it at that moment; otherwise the send goes on.
+   * Failure case: targets lose 3% to 40% of their responses, and the caller of
+   * an idempotent request whose response is lost would wait until the deadline.
    */
   #watchResponse(
     context: RequestContext,
--- a/packages/gateway/src/requests/request_router_test.ts
+++ b/packages/gateway/src/requests/request_router_test.ts
@@ -160,7 +160,9 @@
     );
   }
 
-  /** Sends a request; returns its response if there is one within `advanceMs`. */
+  /**
+   * Sends a request; returns its response if there is one within `advanceMs`.
+   */
   async send(
     changes: Partial<CallerRequest> = {},
     advanceMs = 2_000,
@@ -172,7 +174,9 @@
     return response;
   }
 
-  /** Records that three targets crashed a minute ago while they ran the request. */
+  /**
+   * Records that three targets crashed a minute ago while they ran the request.
+   */
   recordCrashes(): void {
     const request = this.#createRequest();
     const { route } = this.catalogue.match(request)!;
@@ -245,9 +249,8 @@
 }
 
 test("a request that is not idempotent is not sent again when its connection breaks", async () => {
-  // A target may run the request, such as a deposit, and crash before it answers. A
-  // second send would charge the deposit twice, so the caller receives an unknown
-  // outcome.
+  // A target may charge a deposit and crash before it answers. A second send
+  // would charge it twice, so the caller receives an unknown outcome.
   const fixture = new RouterFixture(() => RESET);
   fixture.setRoute({ idempotent: false });
   const response = await fixture.send();
@@ -273,8 +276,8 @@
 });
 
 test("a refusal after a lost response does not report the request as not run", async () => {
-  // The first response is lost, and the other target refuses the request. A 503 would
-  // promise that the request has not run.
+  // The first response is lost, and the other target refuses the request. A 503
+  // would promise that the request has not run.
   const fixture = new RouterFixture((_request, attempt) =>
     attempt === 1 ? RESET : FULL
   );
@@ -291,9 +294,9 @@
 });
 
 test("an idempotent request whose response is overdue is sent again, but not during a shutdown", async () => {
-  // Targets lose some of their responses, and without a retry the caller would wait
-  // until its deadline. An instance that shuts down must not abort a send that a
-  // target is working on, since it may have no time left for another one.
+  // Without a retry, a lost response makes the caller wait until its deadline.
+  // An instance that shuts down must not abort a send that a target is working
+  // on, since it may have no time left for another one.
   const fixture = new RouterFixture((_request, attempt) =>
     attempt === 1 ? SILENT : RESPONSE
   );
@@ -316,8 +319,8 @@
 });
 
 test("a request for a key without an owner waits, but not until its deadline", async () => {
-  // The owner of the key has failed, and its hold lasts for seconds. Callers that
-  // wait in vain until their deadlines could have retried in time.
+  // The owner of the key has failed, and its hold lasts for seconds. Callers
+  // that wait in vain until their deadlines could have retried in time.
   const fixture = new RouterFixture(() => RESPONSE);
   fixture.setRoute({ idempotent: true }, true);
   const response = await fixture.send({ key: 5 }, 350);
@@ -326,9 +329,9 @@
 });
 
 test("a request for a key whose move takes long is refused at once", async () => {
-  // A third of the targets fail at once, and their keys have no owner for seconds
-  // until the holds expire. Without the refusal every caller would wait 0.3 s in
-  // vain.
+  // A third of the targets fail at once, and their keys have no owner for
+  // seconds until the holds expire. Without the refusal every caller would wait
+  // 0.3 s in vain.
   const fixture = new RouterFixture(() => RESPONSE);
   fixture.setRoute({ idempotent: true }, true);
   const [from, to] = ["a", "b"].map((id) => ({ id, address: `${id}:80` }));
@@ -366,7 +369,8 @@
 });
 
 test("a leaving owner receives no requests when its time is nearly over", async () => {
-  // The keeper fails just when a target leaves, so the target's keys do not move.
+  // The keeper fails just when a target leaves, so the target's keys do not
+  // move.
   const fixture = new RouterFixture(() => RESPONSE);
   fixture.setRoute({ idempotent: true }, true);
   fixture.directory.applyTable(
--- a/packages/gateway/src/requests/request_simulation.ts
+++ b/packages/gateway/src/requests/request_simulation.ts
@@ -82,7 +82,10 @@
 const MAX_DATAGRAM_BYTES = 1_400;
 const HEARTBEAT_INTERVAL_MS = 500;
 const CONNECT_TIMEOUT_MS = 250;
-/** Times after a crash: the keys have moved, the entry is gone, the target is back. */
+/**
+ * Times after a crash at which the keys have moved, the entry is gone and the
+ * target is back.
+ */
 const KEYS_MOVED_MS = 1_000;
 const ENTRY_GONE_MS = 2_400;
 const RESTARTED_MS = 3_300;
@@ -149,7 +152,10 @@
     });
   }
 
-  /** Lets a target announce that it leaves, then end before it answers its requests. */
+  /**
+   * Lets a target announce that it leaves, then end before it answers its
+   * requests.
+   */
   stopTarget(id: string): void {
     this.#applyEntry(id, this.#createEntry(id, { leaving: true }));
     this.#targets.get(id)!.fail();
--- a/packages/gateway/src/requests/service_registry.ts
+++ b/packages/gateway/src/requests/service_registry.ts
@@ -25,15 +25,17 @@
   readonly random: Random;
   /** Largest number of instances that may be running, including this one. */
   readonly countInstances: () => number;
-  /** How long a target with a rate limit accepts no more requests. */
+  /** Estimates the wait for a permit to send to a target with a rate limit. */
   readonly estimatePermitWaitMs: (target: RoutingTarget) => number;
 }
 
 /** Interval at which requests are placed or refused while any are waiting. */
 const TICK_MS = 20;
-/** Interval while no request waits: each wake-up costs about 0.1 ms of CPU time. */
+/**
+ * Interval while no request waits: each wake-up costs about 0.1 ms of CPU time.
+ */
 const IDLE_TICK_MS = 50;
-/** A tick that is late by less is an ordinary turn of the event loop. */
+/** A tick that is late by less shows an ordinary delay of the event loop. */
 const MIN_STALL_MS = 40;
 
 export class ServiceRegistry {
@@ -41,7 +43,7 @@
   readonly #places = new Map<string, ServicePlaces>();
   readonly #retryBudgets = new Map<string, RetryBudget>();
   readonly #trafficSplitter = new WeightedSplitter();
-  /** Targets at which each peer had requests, as of its last report. */
+  /** Targets at which each peer had requests, according to its last report. */
   readonly #peerTargets = new Map<string, readonly string[]>();
   #retryLimits: RetryLimits;
   #lastTickAtMs = Infinity;
@@ -101,7 +103,10 @@
     }
   }
 
-  /** How late the next tick is because the process was busy, frozen or not scheduled. */
+  /**
+   * How late the next tick is because the process was busy, frozen or not
+   * scheduled.
+   */
   readStallMs(): number {
     const sinceMs = this.#options.clock.readMs() - this.#lastTickAtMs;
     return sinceMs > this.#tickMs + MIN_STALL_MS ? sinceMs - this.#tickMs : 0;
@@ -239,7 +244,10 @@
     return this.#getPlaces(service).getAverageServiceMs();
   }
 
-  /** Estimates how long a request that has just been placed takes to be answered. */
+  /**
+   * Estimates how long a request that has just been placed takes to be
+   * answered.
+   */
   estimateResponseMs(service: string, targetId: string): number {
     const places = this.#getPlaces(service);
     const usualMs = places.getAverageServiceMs();
@@ -247,7 +255,9 @@
       ?.estimateResponseMs(this.#options.clock.readMs(), usualMs) ?? 0;
   }
 
-  /** Lists the known processing time of one request at each target of a service. */
+  /**
+   * Lists the known processing time of one request at each target of a service.
+   */
   listServiceMs(service: string): Readonly<Record<string, number>> {
     const measured: Record<string, number> = {};
     for (const load of this.#getPlaces(service).listLoads()) {
--- a/packages/gateway/src/requests/target_limits.ts
+++ b/packages/gateway/src/requests/target_limits.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the limits that targets name in their responses: the requests per second
- * that a target accepts from all instances together. The instance that observes
- * a new limit reports it to all others at once, and the coordinator that grants
- * the target's permits repeats the report regularly.
+ * Keeps the limits that targets name in their responses: the requests per
+ * second that a target accepts from all instances together. The instance that
+ * observes a new limit reports it to all others at once, and the coordinator
+ * that grants the target's permits repeats the report regularly.
  */
 import {
   isSuccessful,
@@ -71,7 +71,9 @@
       .filter(({ perSecond }) => perSecond !== null).length;
   }
 
-  /** Requests per second that a target accepts; undefined if it names no limit. */
+  /**
+   * Requests per second that a target accepts; undefined if it names no limit.
+   */
   getLimitPerSecond(target: TargetIncarnation): number | undefined {
     return this.#limits.size === 0
       ? undefined
@@ -154,7 +156,8 @@
       return;
     }
     this.#limits.set(incarnation, { perSecond, atMs: clock.readMs() });
-    // The coordinator reports to the other instances that the limit still holds.
+    // The coordinator reports to the other instances that the limit still
+    // holds.
     const [coordinator = instance] = duties.chooseCoordinators(incarnation);
     const member = coordinator === instance
       ? undefined
@@ -175,7 +178,9 @@
     }
   }
 
-  /** Sets a limit whose change this instance observed, and reports it to all. */
+  /**
+   * Sets a limit whose change this instance observed, and reports it to all.
+   */
   #setLimit(target: TargetIncarnation, perSecond: number | null): void {
     const { clock, duties, observe } = this.#options;
     const incarnation = formatTargetIncarnation(target);
--- a/packages/gateway/src/requests/target_limits_test.ts
+++ b/packages/gateway/src/requests/target_limits_test.ts
@@ -12,7 +12,7 @@
 const PROPAGATION_MS = 3_000;
 const WINDOW_MS = 4_000;
 
-/** Counts the most requests that reached a target in any window after a time. */
+/** Returns the largest number of arrivals in any window after a time. */
 function countMost(
   simulation: RequestSimulation,
   id: string,
@@ -24,7 +24,10 @@
   return countMaxInWindow(times, WINDOW_MS);
 }
 
-/** Creates a simulation under load in which the first target has named its limit. */
+/**
+ * Creates a simulation under load in which the first target has named its
+ * limit.
+ */
 async function createLimitedSimulation(
   options: Partial<RequestSimulationOptions> = {},
   perSecond = LIMIT_PER_SECOND,
@@ -44,7 +47,7 @@
   return { simulation, limitNamedAtMs };
 }
 
-/** Asserts that any window has at most 1.5 times the limit, and five requests. */
+/** Asserts at most 1.5 times the limit, plus five requests, in any window. */
 function assertWithinLimit(
   simulation: RequestSimulation,
   limitNamedAtMs: number,
@@ -134,7 +137,7 @@
   assertWithinLimit(simulation, limitNamedAtMs, perSecond);
 });
 
-test("a target that no longer names a limit receives its full share again", async () => {
+test("a target that no longer names a limit receives more requests than its former limit allowed", async () => {
   const { simulation } = await createLimitedSimulation();
   await sendLoad(simulation, { forMs: 2_000 });
   simulation.setLimit("t1", undefined);
--- a/packages/gateway/src/requests/target_rate_limiter.ts
+++ b/packages/gateway/src/requests/target_rate_limiter.ts
@@ -3,13 +3,15 @@
  * the limit that the target names, and to the limit of its service while the
  * target is cold.
  *
- * Load pattern: an overloaded target accepts two requests per second, a target
- * that has just started five, and a dozen or a thousand instances have requests
- * for it. If each instance had a part of the limit, all of them could send at
- * once, or some could not send at all. So one instance, the coordinator, grants
- * the permits of a target, and the others request one for each send. The
- * coordinator is chosen by a hash of the target's name; if it does not answer,
- * the next instance in the order of hashes takes its place.
+ * Failure case: an overloaded target accepts two requests per second, or a
+ * target that has just started accepts five, and a dozen or a thousand
+ * instances have requests for it. If each instance had a part of the limit, all
+ * of them could send at the same moment, or some could not send at all.
+ *
+ * So one instance, the coordinator, grants the permits of a target, and the
+ * others request a permit for each send. The coordinator is chosen by a hash of
+ * the target's name; if it does not answer, the next instance in the order of
+ * hashes takes over.
  */
 import {
   type PermitDecision,
@@ -32,7 +34,9 @@
 export interface TargetRateLimiterOptions extends PeerOptions {
   readonly limits: TargetLimits;
   readonly findMember: (instance: string) => Member | undefined;
-  /** Requests per second that a target accepts while it is cold; else undefined. */
+  /**
+   * Requests per second that a target accepts while it is cold; else undefined.
+   */
   readonly getColdPerSecond: (target: TargetIncarnation) => number | undefined;
 }
 
@@ -45,18 +49,21 @@
 }
 
 /**
- * Share of the limit that the second coordinator grants. The first one may still
- * serve the instances that reach it, and targets tolerate half as much again for
- * some seconds.
+ * Share of the limit that the second coordinator grants. The first one may
+ * still serve the instances that reach it, and targets tolerate half as much
+ * again as their limit for some seconds.
  */
 const FALLBACK_SHARE = 0.5;
-/** Timeout of a permit request. A round trip takes 3 to 6 ms, a busy process some 40 ms. */
+/**
+ * Timeout of a permit request. A round trip takes 3 to 6 ms, or some 40 ms if a
+ * process is busy.
+ */
 const RESPONSE_TIMEOUT_MS = 80;
 /** Delay after which a caller may retry if no coordinator answers. */
 const NO_COORDINATOR_RETRY_MS = 300;
 /**
- * A pacer that has been unused for this long has the same state as a new one, so
- * it can be removed.
+ * A pacer that has been unused for this long has the same state as a new one,
+ * so it can be removed.
  */
 const UNUSED_PACER_TTL_MS = 10_000;
 const UNLIMITED: PermitDecision = { kind: "granted", waitMs: 0 };
@@ -77,7 +84,9 @@
     this.#options = options;
   }
 
-  /** Requests per second that a target accepts; undefined if it has no limit. */
+  /**
+   * Requests per second that a target accepts; undefined if it has no limit.
+   */
   getLimitPerSecond(target: TargetIncarnation): number | undefined {
     const { limits, getColdPerSecond } = this.#options;
     return findLowest(
@@ -86,7 +95,7 @@
     );
   }
 
-  /** Estimates how long a permit must be waited for, as far as this instance knows. */
+  /** Estimates the wait for a permit from what this instance knows. */
   estimateWaitMs(target: TargetIncarnation): number {
     if (this.#unavailableUntilMs.size === 0) {
       return 0;
