--- a/packages/gateway/src/event_reporter_test.ts
+++ b/packages/gateway/src/event_reporter_test.ts
@@ -18,7 +18,7 @@
 };
 const PARTITION = { topic: "owners", part: 3 };
 
-test("the line of an order has the time of writing and the duration of the order", async () => {
+test("the log line of a key order has its time of writing and the order's duration", async () => {
   // The duration of an order replaced the `elapsedMs` of its line. Orders then
   // seemed to be written seconds too early, and the lines showed gaps as if the
   // process had been suspended.
--- a/packages/gateway/src/gateway_settings.ts
+++ b/packages/gateway/src/gateway_settings.ts
@@ -46,8 +46,8 @@
   readonly targets: { readonly topic: string; readonly part: number };
   readonly members: { readonly topic: string; readonly part: number };
   /**
-   * The ownership topic, which holds the ownership tables of all services and is
-   * divided into this many partitions.
+   * The ownership topic, which holds the ownership tables of all services and
+   * is divided into this many partitions.
    */
   readonly owners: { readonly topic: string; readonly parts: number };
 }
--- a/packages/gateway/src/instance.ts
+++ b/packages/gateway/src/instance.ts
@@ -51,7 +51,10 @@
 import { TargetRateLimiter } from "./requests/target_rate_limiter.ts";
 import { ViewRelay } from "./views/view_relay.ts";
 
-/** Loops that end with the instance: a few, and one per partition followed. */
+/**
+ * Maximum number of loops that listen to the stop signal: a few, and one per
+ * partition followed.
+ */
 const MAX_LOOPS = 200;
 /** Seeds are below this: the generator uses 32 bits. */
 const MAX_SEED = 2 ** 32;
--- a/packages/gateway/src/instance_status.ts
+++ b/packages/gateway/src/instance_status.ts
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Answers with the status at its path, and with readiness at any other. */
+  /** Answers with the status on `STATUS_PATH`, and with readiness on others. */
   answer(path: string): MonitoringResponse {
     if (path === STATUS_PATH) {
       return this.#answerStatus();
--- a/packages/gateway/src/members/duties_test.ts
+++ b/packages/gateway/src/members/duties_test.ts
@@ -60,10 +60,10 @@
   }
 }
 
-test("a few of 200 instances become candidates, the strongest", async () => {
-  // A single instance keeps all targets' keys. One with a quarter of a core
-  // cannot renew 400 ranges in time, and every key is refused. If all 200
-  // joined the group, that alone would be 40 calls a second.
+test("a few of 200 instances become candidates, all of them strong", async () => {
+  // A single keeper of all keys that has a quarter of a core cannot renew 400
+  // ranges in time, so every key is refused. If all 200 instances joined the
+  // group, that alone would be 40 calls a second.
   const fleet = new Fleet(createInstances(200));
   await fleet.advance(2_000);
   const candidates = fleet.list((duties) => duties.isCandidate());
@@ -150,9 +150,9 @@
   // finds a change in between.
   const fleet = new Fleet(createInstances(40));
   await fleet.advance(2_000);
-  const places = fleet.names
+  const ranks = fleet.names
     .map((name) => fleet.duties.get(name)!.findCandidateRank())
-    .filter((place) => place !== undefined)
+    .filter((rank) => rank !== undefined)
     .toSorted();
-  assert.deepEqual(places, [0, 1, 2, 3, 4, 5]);
+  assert.deepEqual(ranks, [0, 1, 2, 3, 4, 5]);
 });
--- a/packages/gateway/src/members/member_fixtures.ts
+++ b/packages/gateway/src/members/member_fixtures.ts
@@ -1,7 +1,7 @@
 /** Creates the members of a sample deployment, for tests. */
 import { type Member, Members, serializeMember } from "./members.ts";
 
-/** `bole-3` is the third in Bole; a name without a number is in Bole too. */
+/** `bole-3` is in the data centre `bole`, as is a name without a number. */
 export function createMember(
   instance: string,
   changes: Partial<Member> = {},
@@ -31,7 +31,7 @@
   });
 }
 
-/** What an instance knows once it has read all records. */
+/** Creates the members that an instance knows once it has read all records. */
 export function createMembers(
   self: Member,
   all: readonly Member[],
--- a/packages/gateway/src/members/members.ts
+++ b/packages/gateway/src/members/members.ts
@@ -1,8 +1,8 @@
 /**
  * Tracks the other instances: their addresses and current incarnations. Each
  * instance writes one record at its start and sends it to the others. The
- * records of instances that are gone for good stay, and cost a datagram now and
- * then.
+ * records of instances that are gone for good are kept, so a datagram is sent
+ * to their addresses now and then.
  */
 import { hashToUint32 } from "./stable_hash.ts";
 
--- a/packages/gateway/src/peers/datagram_fragments.ts
+++ b/packages/gateway/src/peers/datagram_fragments.ts
@@ -23,8 +23,9 @@
 /**
  * Compresses a value and splits it into fragments; undefined if it is too long.
  * With 150 targets the moves of a plan take three to six fragments. If 58
- * instances had to read the table instead, they would all do so at once, several
- * times a second. These reads would be nine tenths of 156 calls a second.
+ * instances had to read the table instead, they would all do so at once,
+ * several times a second. These reads would be nine tenths of 156 calls a
+ * second.
  */
 export function encodeValue(value: unknown): readonly Fragment[] | undefined {
   const text = deflateRawSync(JSON.stringify(value)).toString("base64");
--- a/packages/gateway/src/peers/load_exchange.ts
+++ b/packages/gateway/src/peers/load_exchange.ts
@@ -2,9 +2,10 @@
  * Sends this instance's counts of running and waiting requests per target to
  * the other instances, and receives theirs.
  *
- * A few instances send to each other directly: immediately within a data
- * centre, whose instances share its targets, and a few times a second to other
- * data centres, because traffic between data centres has a cost.
+ * If there are only a few instances, they send to each other directly: almost
+ * immediately within a data centre, whose instances share its targets, and a
+ * few times a second to other data centres, because traffic between data
+ * centres has a cost.
  *
  * Direct messages do not scale to deployments of 60 to 200 instances. Among 200
  * instances, each would receive the counts of another every 3 s, when most of
@@ -12,7 +13,8 @@
  * time on 260 datagrams a second. So one instance in each data centre, the
  * aggregator, adds up the counts of the instances there and sends the sum, the
  * aggregate. The aggregator is the data centre's local reader. Each instance
- * then sends 21 datagrams a second, and counts reach all instances within 0.6 s.
+ * then sends 21 datagrams a second, and counts reach all instances within
+ * 0.6 s.
  *
  * The counts are only hints. A lost datagram makes decisions worse for a
  * moment, and counts of instances that no longer send decay.
@@ -55,22 +57,26 @@
  */
 const MAX_DIRECT_INSTANCES = 24;
 /**
- * Minimum time between two messages; changes within it go out together. The
- * time grows with the number of receivers, since each instance sends to each.
+ * Time between two messages, which grows with the number of receivers, since
+ * each instance sends to each.
  */
 interface SendInterval {
   readonly minMs: number;
   readonly perInstanceMs: number;
 }
-/** Within a data centre; requests take 40 ms and more. */
+/**
+ * Minimum time between two messages within a data centre; changes in between go
+ * out together. Requests take 40 ms and more.
+ */
 const LOCAL_INTERVAL: SendInterval = { minMs: 40, perInstanceMs: 12 };
 /**
- * To other data centres. Traffic there has a cost, and requests there take
- * about this long in total. The minimum applies up to eleven receivers.
+ * The same to other data centres. Traffic to them has a cost, and requests to
+ * them take about this long in total. `minMs` applies up to eleven receivers.
  */
 const REMOTE_INTERVAL: SendInterval = { minMs: 250, perInstanceMs: 22 };
 /**
- * Without a change, often enough for a receiver to treat the counts as current.
+ * Time after which counts that have not changed are sent again, often enough
+ * for a receiver to treat them as current.
  */
 const REPEAT_INTERVAL: SendInterval = { minMs: 400, perInstanceMs: 16 };
 /** To the aggregator, which sends aggregates about as often. */
--- a/packages/gateway/src/peers/peer_message.ts
+++ b/packages/gateway/src/peers/peer_message.ts
@@ -57,6 +57,7 @@
     readonly kind: "keys";
     readonly from: string;
     readonly service: string;
+    /** Keys that callers have requested, or a sample of them. */
     readonly keys: readonly number[];
     /** Measured work of one request at each target, in milliseconds. */
     readonly serviceMs: Readonly<Record<string, number>>;
--- a/packages/gateway/src/peers/peer_message_check_test.ts
+++ b/packages/gateway/src/peers/peer_message_check_test.ts
@@ -26,7 +26,7 @@
   return isPeerMessage(message as PeerMessage | null);
 }
 
-test("complete messages about shared limits are accepted", () => {
+test("complete messages about suspects, limits and permits are accepted", () => {
   assert.ok(isAccepted({ kind: "suspects", ...FROM, reports: [SUSPECT] }));
   assert.ok(isAccepted({ kind: "limits", ...FROM, limits: [LIMIT] }));
   assert.ok(isAccepted({ ...QUOTA_REQUEST, limit: LIMIT }));
--- a/packages/gateway/src/structured_logger.ts
+++ b/packages/gateway/src/structured_logger.ts
@@ -3,10 +3,10 @@
  * waiting.
  *
  * Guards against logging that delays requests. Lines are buffered and written
- * together. When the reader of standard output falls behind, or more lines come
- * than a second's limit, lines are dropped and counted, and the count is
- * written as soon as there is room. Lines about failures have a limit of their
- * own, so a flood of successes hides none of them.
+ * together. When the process that reads standard output falls behind, or more
+ * lines come than a second's limit, lines are dropped and counted, and the
+ * count is written as soon as there is room. Lines about failures have a limit
+ * of their own, so a flood of successes hides none of them.
  */
 import winston from "winston";
 import type { Clock } from "@lentilspur/ports/clock";
@@ -37,7 +37,7 @@
  */
 const ROUTINE_PER_SECOND = 150;
 const NOTABLE_PER_SECOND = 300;
-/** Most bytes that may wait for a reader that has stopped reading. */
+/** Maximum bytes that are buffered while nothing reads standard output. */
 const MAX_UNWRITTEN_BYTES = 512 * 1024;
 
 export class StructuredLogger {
@@ -46,7 +46,7 @@
   readonly #countInSecond = { routine: 0, notable: 0 };
   readonly #dropped = { routine: 0, notable: 0 };
   #secondStartedAtMs = -Infinity;
-  /** Dropped lines that have been reported. */
+  /** Number of dropped lines that have been reported. */
   #reportedDrops = 0;
   #sequence = 0;
   #buffer: string[] = [];
--- a/packages/gateway/src/views/catalogue.ts
+++ b/packages/gateway/src/views/catalogue.ts
@@ -432,8 +432,9 @@
 
 /**
  * Whether an entry differs from the known state of its target in nothing but
- * the sequence number and the cold time. A heartbeat alone is no change. A known
- * leaving state is kept, so an entry that is not leaving is no change either.
+ * the sequence number and the cold time. An entry that is only written again is
+ * no change. A known leaving state is kept, so an entry that is not leaving is
+ * no change either.
  */
 function isSameState(known: RoutingTarget, entry: RoutingTarget): boolean {
   return known.bornMs === entry.bornMs && known.service === entry.service &&
--- a/packages/gateway/src/views/catalogue_test.ts
+++ b/packages/gateway/src/views/catalogue_test.ts
@@ -85,7 +85,7 @@
   ]);
 });
 
-test("a heartbeat without new state does not count as a change", () => {
+test("an entry that is written again without new state does not count as a change", () => {
   const { catalogue } = createCatalogue();
   catalogue.applyTarget("a", formatTarget(), NOW);
   assert.ok(catalogue.advance(0));
@@ -94,8 +94,8 @@
 });
 
 test("a leaving target stays leaving if an entry of its incarnation says otherwise", () => {
-  // After an outage, an older record may bring back the target's last
-  // heartbeats from before it left.
+  // After an outage, an older record may bring back an entry from before the
+  // target reported that it is leaving.
   const { catalogue } = createCatalogue();
   catalogue.applyTarget("a", formatTarget({ leaving: true }), NOW);
   catalogue.applyTarget("a", formatTarget(), { nowMs: 500, graceMs: 0 });
@@ -203,8 +203,8 @@
   // previous incarnation, which was leaving. The entry must not affect the new
   // incarnation.
   const { catalogue, events } = createCatalogue();
-  const life = { bornMs: 9_000, sequence: 2 };
-  catalogue.applyTarget("a", formatTarget(life), NOW);
+  const laterIncarnation = { bornMs: 9_000, sequence: 2 };
+  catalogue.applyTarget("a", formatTarget(laterIncarnation), NOW);
   const earlier = formatTarget({ bornMs: 1_000, sequence: 80, leaving: true });
   assert.ok(
     !catalogue.isChange("a", earlier, 0),
--- a/packages/gateway/src/views/key_directory.ts
+++ b/packages/gateway/src/views/key_directory.ts
@@ -13,7 +13,7 @@
 export type KeyOwner =
   | { readonly kind: "owned"; readonly owner: Holder; readonly offset: number }
   /**
-   * The key is moving from one target to another since this time, by the local
+   * The key is moving from one target to another, since `sinceMs` by the local
    * clock.
    */
   | {
@@ -49,8 +49,8 @@
   readonly #granted = new Map<string, Set<string>>();
 
   /**
-   * Returns the fault if the text is not a valid table; the table before then
-   * stays in force.
+   * Applies a serialized table. If the text is not a valid table, returns the
+   * fault, and the previous table stays in force.
    */
   applyTable(
     service: string,
--- a/packages/gateway/src/views/partition_view.ts
+++ b/packages/gateway/src/views/partition_view.ts
@@ -284,7 +284,8 @@
   }
 
   /**
-   * An instance that was cut off from the store may have missed a dozen
+   * Chooses the offset at which the next read starts, or the newest records. An
+   * instance that was cut off from the store may have missed a dozen
    * configurations of 216 kB each. On a link of 7 Mbit/s, reading all of them
    * takes 3 s, and only the newest one is needed.
    */
--- a/packages/gateway/src/views/partition_view_test.ts
+++ b/packages/gateway/src/views/partition_view_test.ts
@@ -49,10 +49,10 @@
   assert.equal(view.end, 3);
 });
 
-test("an entry that was removed with the history is reported as gone", async () => {
+test("an entry is removed here if the record of its removal was dropped by the store", async () => {
   // A target leaves while the store drops its history, so no record of the
-  // removal is ever read. A reader that continues from the old end would send
-  // requests to the target forever.
+  // removal is ever read. A view that continues from the old end would keep the
+  // target, and requests would be sent to it forever.
   const { clock, store, applied, events } = startView();
   await clock.advance(50);
   store.setFaultMode("me", "refusing");
@@ -125,7 +125,7 @@
   assert.deepEqual(events, []);
 });
 
-test("a store that begins its responses late is not sent the same read forever", async () => {
+test("a read finishes although the store begins its responses late", async () => {
   // All instances read a large configuration at once, so responses start after
   // 0.6 s. Peers report the version every 100 ms; abandoning reads after 0.4 s
   // slowed the store further, and no read ever finished.
--- a/packages/gateway/src/views/store_views.ts
+++ b/packages/gateway/src/views/store_views.ts
@@ -74,10 +74,10 @@
 /** Lets a few calls read a burst of changes that are 60 ms apart. */
 const CONFIGURATION_POLL_DELAY_MS = 120;
 /**
- * A leaving target must be seen well within 2 s. These reads do not wait at the
- * store for a record: the age of their result counts from the time at which
- * they were sent, so after a wait the instances that receive it from the reader
- * would treat it as too old.
+ * A leaving target must be seen well within 2 s. The store does not hold these
+ * reads open: the age of a result counts from the time at which its read was
+ * sent, so the instances that receive it from the reader would treat the result
+ * of a read that was held open as too old.
  */
 const TARGETS_POLL_DELAY_MS = 750;
 /**
@@ -117,9 +117,9 @@
  */
 const DEFAULT_MAX_BACKOFF_MS = 1_600;
 /**
- * An entry that disappears soon after an outage may have expired in it and has
- * a grace period, which counts from the end of the outage. It is over after
- * `EXPIRED_ENTRY_GRACE_MS`, so this longer limit has no effect.
+ * An entry that disappears within this time after an outage may have expired in
+ * it and has a grace period. The grace period ends `EXPIRED_ENTRY_GRACE_MS`
+ * after the outage, so this longer limit has no effect.
  */
 const POST_OUTAGE_MS = 3_000;
 
--- a/packages/gateway/src/views/store_views_test.ts
+++ b/packages/gateway/src/views/store_views_test.ts
@@ -42,7 +42,7 @@
 const SLOW_LINK_BYTES_PER_MS = 875;
 /** A few hundred routes. */
 const LARGE_CONFIGURATION_BYTES = 216_000;
-/** A change must be in force this long after the end of an outage. */
+/** A change must be in force within this time after the end of an outage. */
 const MAX_APPLY_MS = 2_000;
 
 /**
@@ -53,7 +53,8 @@
 /** A call that gets no response fails this long after its `waitMs`. */
 const CALL_TIMEOUT_MS = 700;
 /**
- * An instance must have recovered this long after its connections fell silent.
+ * An instance must have recovered within this time after its connections went
+ * silent.
  */
 const RECOVERY_MS = 3_000;
 
@@ -376,7 +377,7 @@
 });
 
 test("a change is in force in time although reads in flight hang", async () => {
-  // All open connections to the store fall silent just before a change. The
+  // All open connections to the store go silent just before a change. The
   // candidates had started their reads together, so no peer reported the
   // change, and the old version was used until the reads timed out after 4.2 s.
   const simulation = new StoreViewsSimulation({ peers: 0 });
--- a/packages/gateway/src/views/view_relay.ts
+++ b/packages/gateway/src/views/view_relay.ts
@@ -2,9 +2,9 @@
  * Passes on what one instance has read or written, so that its peers need not
  * read the store. One instance, the reader, reads the targets' entries for all
  * and passes on the configuration changes that it reads; the keeper of a
- * partition of the ownership topic sends the tables that it writes. Both send to
- * the instances of their own data centre and to one instance in each other data
- * centre, which forwards the messages there.
+ * partition of the ownership topic sends the tables that it writes. Both send
+ * to the instances of their own data centre and to one instance in each other
+ * data centre, which forwards the messages there.
  *
  * Each target writes its entry about once a second, and in busy periods keys
  * move several times a second. If every instance read each of these changes
@@ -196,8 +196,8 @@
   /**
    * Records up to where the keeper has read its partition. A table before this
    * end may have been written without being announced, because the response to
-   * its append was lost. If a receiver without that table applied
-   * the next difference, keys would have wrong owners for good; so it applies a
+   * its append was lost. If a receiver without that table applied the next
+   * difference, keys would have wrong owners for good. So a receiver applies a
    * difference only if it knows the partition up to this end.
    */
   recordTableEnd(part: number, end: number): void {
--- a/packages/gateway/src/views/view_relay_tables_test.ts
+++ b/packages/gateway/src/views/view_relay_tables_test.ts
@@ -47,7 +47,7 @@
 }
 
 /** Creates a view that relies on its peers for a minute between reads. */
-function createOwnersView({ clock, store, partition, apply }: {
+function createView({ clock, store, partition, apply }: {
   readonly clock: VirtualClock;
   readonly store: FakeStore;
   readonly partition: Partition;
@@ -111,7 +111,7 @@
 
   store.write(partition, "table/files", serializeTable(before));
   const applied: StoreRecord[] = [];
-  const view = createOwnersView({
+  const view = createView({
     clock,
     store,
     partition,
@@ -164,8 +164,8 @@
   const second = applyReassignments(first, [change], 3);
   store.write(partition, "keeper", "{}");
   store.write(partition, "table/files", serializeTable(first));
-  let reads = 0;
-  const view = createOwnersView({
+  let otherRecords = 0;
+  const view = createView({
     clock,
     store,
     partition,
@@ -173,7 +173,7 @@
       if (key === "table/files") {
         directory.applyTable("files", value, { offset, nowMs: clock.readMs() });
       } else {
-        reads++;
+        otherRecords++;
       }
     },
   });
@@ -197,7 +197,7 @@
     after: first,
   });
   store.write(partition, "witnesses", "[]");
-  reads = 0;
+  otherRecords = 0;
   relay.sendTableDiff({
     part: 3,
     service: "files",
@@ -212,7 +212,7 @@
   assert.deepEqual(directory.getTable("files"), second);
   assert.equal(view.end, 4);
   await clock.advance(1_000);
-  assert.equal(reads, 0);
+  assert.equal(otherRecords, 0);
 
   // The table at offset 4 was written, but the response to its append was lost,
   // so it was never announced.
@@ -246,7 +246,7 @@
   }));
   const after = applyReassignments(before, changes, 1);
   store.write(partition, "table/files", serializeTable(before));
-  const view = createOwnersView({
+  const view = createView({
     clock,
     store,
     partition,
@@ -308,7 +308,7 @@
   });
   store.write(partition, "newest", "first");
   const applied: StoreRecord[] = [];
-  const view = createOwnersView({
+  const view = createView({
     clock,
     store,
     partition,
--- a/packages/gateway/src/views/view_relay_targets_test.ts
+++ b/packages/gateway/src/views/view_relay_targets_test.ts
@@ -210,9 +210,9 @@
 });
 
 test("a change is seen in time when a data centre's local reader falls silent", async () => {
-  // The instance that forwards entries within Yeka is lost while a target
-  // leaves. The other instances there must see the change within 2 s, or they
-  // send requests to a target that is shutting down.
+  // The instance that forwards entries within a data centre is lost while a
+  // target leaves. The other instances there must see the change within 2 s, or
+  // they send requests to a target that is shutting down.
   const simulation = new ReaderSimulation(MANY);
   await simulation.clock.advance(5_000);
   const local =
