--- a/packages/cli/src/in_force.ts
+++ b/packages/cli/src/in_force.ts
@@ -18,8 +18,8 @@
 }
 
 /**
- * Concurrent queries: a few unresponsive instances do not delay the rest, and
- * any machine can open so many connections.
+ * Limit of concurrent queries: high enough that a few unresponsive instances do
+ * not delay the rest, and low enough that any machine can open the connections.
  */
 const MAX_CONCURRENT = 64;
 
--- a/packages/declarations/src/declaration_fault.ts
+++ b/packages/declarations/src/declaration_fault.ts
@@ -18,8 +18,8 @@
 }
 
 /**
- * Formats `FILE:LINE:COLUMN: PATH: found X; expected Y`. Editors can jump to the
- * location.
+ * Formats `FILE:LINE:COLUMN: PATH: found X; expected Y`. Editors can jump to
+ * the location.
  */
 export function formatDeclarationFault(fault: DeclarationFault): string {
   const location = `${fault.file}:${fault.line}:${fault.column}`;
--- a/packages/declarations/src/field_schemas.ts
+++ b/packages/declarations/src/field_schemas.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Names appear in metric labels, log lines and store keys, so they are limited to
- * characters that need no quoting in any of these.
+ * Names appear in metric labels, log lines and store keys, so they are limited
+ * to characters that need no quoting in any of these.
  */
 const NAME_PATTERN = /^[a-z][a-z0-9-]{0,62}$/;
 
--- a/packages/declarations/src/publication.ts
+++ b/packages/declarations/src/publication.ts
@@ -82,8 +82,8 @@
 }
 
 /**
- * Returns an error message if `text` is not a publication. The check is shallow,
- * because only lentilspur's own commands write the record.
+ * Returns an error message if `text` is not a publication. The check is
+ * shallow, because only lentilspur's own commands write the record.
  */
 export function parsePublication(text: string): Result<Publication, string> {
   let value: unknown;
--- a/packages/declarations/src/published_routing.ts
+++ b/packages/declarations/src/published_routing.ts
@@ -22,7 +22,8 @@
 
 /**
  * Connections that one target accepts from all instances together; each
- * instance uses its share. The lower value of the two current deployments.
+ * instance uses its share. The two current deployments have different limits;
+ * this is the lower one.
  */
 const MAX_CONNECTIONS = 130;
 /** A common default of HTTP servers. */
--- a/packages/declarations/src/semantic_checks.ts
+++ b/packages/declarations/src/semantic_checks.ts
@@ -147,10 +147,10 @@
 }
 
 /**
- * Checks that the shard count of a published template has not changed. With an
- * owner per shard, another count would change the owner of nearly every key at
- * once, while the previous owners still hold the keys. The router does not use
- * the shard count (see `Template.shardCount`), but it stays immutable.
+ * Checks that the shard count of a published template has not changed. If each
+ * shard had an owner, another count would change the owner of nearly every key
+ * at once, while the previous owners still hold the keys. The router does not
+ * use the shard count (see `Template.shardCount`), but it stays immutable.
  */
 function checkShardCount(
   { source, content }: ValidDocument<TemplateDocument>,
--- a/packages/declarations/src/template.ts
+++ b/packages/declarations/src/template.ts
@@ -64,8 +64,8 @@
   readonly placement: PlacementWeights;
   readonly retry: RetryPolicy;
   /**
-   * Most hot keys that are assigned individually at one time. Has no effect; see
-   * `IGNORED_FIELDS` in warnings.ts.
+   * Most hot keys that are assigned individually at one time. Has no effect;
+   * see `IGNORED_FIELDS` in warnings.ts.
    */
   readonly maxHotKeys: number;
   /**
--- a/packages/declarations/src/template_schema.ts
+++ b/packages/declarations/src/template_schema.ts
@@ -14,8 +14,8 @@
 import type { Template } from "./template.ts";
 
 /**
- * With an owner per shard in memory, 65,536 shards would bound that memory. The
- * router does not use the shard count (see `Template.shardCount`).
+ * A table in memory with one owner per shard would have at most 65,536 entries.
+ * The router does not use the shard count (see `Template.shardCount`).
  */
 export const MAX_SHARD_COUNT = 65_536;
 
--- a/packages/declarations/src/validate.ts
+++ b/packages/declarations/src/validate.ts
@@ -20,8 +20,8 @@
 import { toTemplate } from "./template_schema.ts";
 
 /**
- * Validates `files` together. `published` is the configuration that they replace;
- * without it, changes to immutable fields are not detected.
+ * Validates `files` together. `published` is the configuration that they
+ * replace; without it, changes to immutable fields are not detected.
  */
 export function validateDeclarations(
   files: readonly DeclarationFile[],
--- a/packages/proof/src/audit.ts
+++ b/packages/proof/src/audit.ts
@@ -1,11 +1,12 @@
 /**
- * Checks from the log lines of all instances that the router keeps its promises:
+ * Checks from the log lines of all instances that the router keeps its
+ * promises:
  *
  * - a non-idempotent request runs at most once;
  * - a request that is reported to the caller as "not run" has not run;
  * - a response that is forwarded to a caller comes from a target;
- * - for each key, a fencing token belongs to one target, so that the key has one
- *   owner under each token;
+ * - all sends for a key under one fencing token go to one target, so that the
+ *   key has one owner under each token;
  * - the configuration versions that an instance applies increase until it
  *   restarts.
  *
--- a/packages/proof/src/losses.ts
+++ b/packages/proof/src/losses.ts
@@ -16,7 +16,7 @@
   readonly answered: number;
   /** Requests without a response of a target by reason, most frequent first. */
   readonly reasons: readonly LossReason[];
-  /** Sends to the busiest target / mean sends of the targets with sends. */
+  /** Sends to the busiest target, divided by the mean of targets with sends. */
   readonly busiestToMean: number;
 }
 
--- a/packages/transport/src/connection_pool.ts
+++ b/packages/transport/src/connection_pool.ts
@@ -21,7 +21,9 @@
   readonly maxConnections: number;
   /** Longest wait for a connection to open. */
   readonly connectTimeoutMs: number;
-  /** An idle connection whose last response is older than this is not reused. */
+  /**
+   * An idle connection whose last response is older than this is not reused.
+   */
   readonly maxIdleMs: number;
 }
 
@@ -47,10 +49,12 @@
 
   /**
    * Whether it is certain that one process has been at the address since the
-   * first connection: at least one connection was open at all times, none ended
-   * unexpectedly, and while each abandoned request (timed out, cancelled, or with
-   * too large a response) was in progress, a response arrived on another
-   * connection.
+   * first connection. This takes three conditions:
+   *
+   * - at least one connection was open at all times;
+   * - no connection ended unexpectedly;
+   * - during each abandoned request (timed out, cancelled, or with too large a
+   *   response), a response arrived on another connection.
    */
   get isSameProcess(): boolean {
     return !this.#mayHaveRestarted &&
@@ -119,7 +123,10 @@
     return opened;
   }
 
-  /** Takes the last used connection, which the peer is least likely to have closed. */
+  /**
+   * Takes the last used connection, which the peer is least likely to have
+   * closed.
+   */
   #takeIdle(): HttpConnection | undefined {
     const oldestAtMs = this.#options.clock.readMs() - this.#options.maxIdleMs;
     for (;;) {
--- a/packages/transport/src/http_connection.ts
+++ b/packages/transport/src/http_connection.ts
@@ -24,7 +24,9 @@
   readonly message: string;
 }
 
-/** After this long without traffic the kernel probes whether the peer is alive. */
+/**
+ * After this long without traffic the kernel probes whether the peer is alive.
+ */
 const TCP_KEEP_ALIVE_MS = 1_000;
 
 export class HttpConnection {
@@ -55,7 +57,9 @@
     return !this.#socket.destroyed && this.#socket.readyState === "open";
   }
 
-  /** Clock time of the last complete response or, before one, of the opening. */
+  /**
+   * Clock time of the last complete response or, before one, of the opening.
+   */
   get lastResponseAtMs(): number {
     return this.#lastResponseAtMs;
   }
@@ -101,10 +105,10 @@
   }
 
   /**
-   * Closes the connection with a TCP reset. Failure: a request is abandoned
-   * while part of it waits in the kernel because the network path is down, and
-   * the path recovers minutes later. A plain close would still deliver that
-   * part; a reset discards it.
+   * Closes the connection with a TCP reset, which discards data that waits in
+   * the kernel. After a plain close, the kernel would still deliver the rest of
+   * an abandoned request when a failed network path recovers, even minutes
+   * later.
    */
   reset(): void {
     this.#socket.resetAndDestroy();
@@ -136,8 +140,8 @@
 
   /**
    * Gives `undici` the socket once; every later attempt to connect fails.
-   * Failure: `undici` reopens a lost connection and sends a queued or reset
-   * request on the new connection, so that the request runs twice.
+   * Otherwise, `undici` would reopen a lost connection and send a queued or
+   * reset request on the new connection, so that the request would run twice.
    */
   #offerSocket(callback: buildConnector.Callback): void {
     if (this.#isSocketTaken || !this.isOpen) {
--- a/packages/transport/src/http_connection_test.ts
+++ b/packages/transport/src/http_connection_test.ts
@@ -8,7 +8,10 @@
 const RESPONSE_WITHOUT_LENGTH =
   "HTTP/1.1 200 OK\r\nx-echo: 1\r\n\r\nhalf of it";
 
-/** Sends a request to a target whose response has no length; `end` ends its connection. */
+/**
+ * Sends a request to a target whose response has no length; `end` ends its
+ * connection.
+ */
 async function sendToTarget(
   end: (socket: Socket) => void,
 ): Promise<HttpResponse | string> {
@@ -38,14 +41,14 @@
   return sent.ok ? sent.val : sent.val.cause;
 }
 
-test("a response without a length is truncated if its connection is reset", async () => {
+test("a response without a length counts as truncated if its connection is reset", async () => {
   // Guards against half of a response that looks complete to the caller: a
   // target crashes within a response without a length, its connection is reset,
   // and the HTTP client reports the part that arrived as the whole response.
   assert.equal(await sendToTarget((socket) => socket.resetAndDestroy()), "cut");
 });
 
-test("a response without a length is complete if the target closes its connection", async () => {
+test("a response without a length counts as complete if the target closes its connection", async () => {
   const response = await sendToTarget((socket) => socket.end());
   assert.equal(
     typeof response === "string"
--- a/packages/transport/src/http_exchange.ts
+++ b/packages/transport/src/http_exchange.ts
@@ -20,7 +20,9 @@
   readonly signal?: AbortSignal;
   /** Called with the size of each part of the response body that arrives. */
   readonly onData?: (bytes: number) => void;
-  /** Called right before the first byte is written; on false nothing is written. */
+  /**
+   * Called right before the first byte is written; on false nothing is written.
+   */
   readonly mayStart?: () => boolean;
 }
 
@@ -35,7 +37,10 @@
 export type SendFailureCause =
   /** No complete response within the time limit, or a stalled response. */
   | "silent"
-  /** The connection was lost before the head of a final response. */
+  /**
+   * The connection was lost before the head of a final response, or the request
+   * could not be written.
+   */
   | "reset"
   /**
    * The response is truncated or may be: its connection was lost within it, or
--- a/packages/transport/src/response_collector.ts
+++ b/packages/transport/src/response_collector.ts
@@ -1,4 +1,7 @@
-/** Collects one HTTP response and distinguishes complete from truncated responses. */
+/**
+ * Collects one HTTP response and distinguishes complete from truncated
+ * responses.
+ */
 import type { Dispatcher } from "undici";
 import type { HeaderField } from "@lentilspur/ports/header_field";
 import type {
@@ -43,7 +46,10 @@
   #headers: readonly HeaderField[] = [];
   #length = 0;
 
-  /** Calls `observeData` for each part of the response that arrives, its head included. */
+  /**
+   * Calls `observeData` for each part of the response that arrives, its head
+   * included.
+   */
   constructor(request: HttpRequest, observeData: () => void) {
     this.#request = request;
     this.#observeData = observeData;
@@ -108,9 +114,9 @@
 
   /**
    * Whether the response marks its own end, by a length or a last chunk;
-   * `undici` checks both. Failure: a target crashes in the middle of a response
-   * that ends with its connection, and the first half looks complete. Such a
-   * response is accepted only if the sender of the request allows it.
+   * `undici` checks both. Otherwise the response ends with its connection, and
+   * looks complete even if the target crashes in the middle of it; it is
+   * accepted only if the sender of the request allows it.
    */
   #isSelfDelimited(): boolean {
     return this.#request.method === "HEAD" ||
--- a/packages/transport/src/response_timeout.ts
+++ b/packages/transport/src/response_timeout.ts
@@ -1,7 +1,10 @@
 /** Times out a response: as a whole, or when it stalls. */
 
 export interface ResponseLimits {
-  /** For the whole response; with `stallTimeoutMs`, only until its head has arrived. */
+  /**
+   * For the whole response; with `stallTimeoutMs`, only until its head has
+   * arrived.
+   */
   readonly timeoutMs: number;
   /** Longest pause within a response that has begun. */
   readonly stallTimeoutMs?: number;
--- a/packages/transport/src/session_pool.ts
+++ b/packages/transport/src/session_pool.ts
@@ -2,11 +2,11 @@
  * Groups the connections to one address into sessions. All connections of a
  * session lead to the same incarnation of a process.
  *
- * Failure: an order reaches another incarnation of the process than it is meant
- * for. A process may restart under its id at its address, and no response shows
- * which incarnation sent it; only the end of connections reveals a restart. So
- * each session has its own connections, and ends when they no longer prove that
- * the process is the same.
+ * This prevents an order from reaching another incarnation of the process than
+ * it is meant for. A process may restart under its id at its address, and no
+ * response shows which incarnation sent it; only the end of connections reveals
+ * a restart. So each session has its own connections, and ends when they no
+ * longer prove that the process is the same.
  */
 import { Err, type Result } from "@lentilspur/outcomes/result";
 import {
@@ -22,7 +22,10 @@
   | { readonly stage: "session"; readonly message: string };
 
 export class SessionPool {
-  /** Sessions are numbered across all pools, so that no two have the same number. */
+  /**
+   * Sessions are numbered across all pools, so that no two have the same
+   * number.
+   */
   static #lastSession = 0;
   readonly #address: string;
   readonly #options: PoolOptions;
@@ -35,7 +38,9 @@
     this.#pool = new ConnectionPool(address, options);
   }
 
-  /** Number of the current session; changes when the process may have restarted. */
+  /**
+   * Number of the current session; changes when the process may have restarted.
+   */
   get session(): number {
     if (!this.#pool.isSameProcess) {
       this.#pool.close();
--- a/packages/transport/src/session_pool_test.ts
+++ b/packages/transport/src/session_pool_test.ts
@@ -34,7 +34,9 @@
   return { server, sockets, address: `127.0.0.1:${port}` };
 }
 
-/** Ends the server and resets its connections, as a crash of its process does. */
+/**
+ * Ends the server and resets its connections, as a crash of its process does.
+ */
 async function kill({ server, sockets }: Target): Promise<void> {
   const open = [...sockets].filter(({ closed }) => !closed);
   const ended = open.map((socket) =>
