--- a/packages/ownership/src/hold_tracker.ts
+++ b/packages/ownership/src/hold_tracker.ts
@@ -11,9 +11,9 @@
 /** A target's clock may run 2% slow, so its hold may last this much longer. */
 const CLOCK_DRIFT = 1.02;
 /**
- * A grant is in flight for at most this long before its connection is reset. It
- * counts from the timeout of the order, since the sender may transmit the grant
- * until then.
+ * A grant is in flight for at most this long before its connection is reset.
+ * This time counts from the timeout of the order, since the sender may transmit
+ * the grant until then.
  */
 const MAX_TRANSIT_MS = 400;
 
--- a/packages/ownership/src/initial_distribution_test.ts
+++ b/packages/ownership/src/initial_distribution_test.ts
@@ -112,9 +112,8 @@
 
 test("few requests are rejected in the first two seconds after callers arrive", () => {
   // Callers arrive 8 s after the targets, half for adjacent keys. With one
-  // owner or a wide range per owner, many requests would be rejected for 2 s,
-  // since one plan makes only a dozen moves, or one per target. In this
-  // simulation: 34% with one owner, 6% with an even distribution.
+  // owner or a wide range per owner, a plan's dozen moves, or one per target,
+  // leave 2 s of rejections: simulated, 34% with one owner, 6% if even.
   const candidates = createCandidates();
   const distributed = runLoad(createKeyTable(candidates, 1));
   const singleOwner = runLoad(createKeyTable(candidates.slice(0, 1), 1));
--- a/packages/ownership/src/keeper_records.ts
+++ b/packages/ownership/src/keeper_records.ts
@@ -19,7 +19,8 @@
   /** Generated anew at each start of the process. */
   readonly incarnation: string;
   /**
-   * Whether the keeper has stopped and all of its orders have been answered.
+   * Whether the keeper has stopped and none of its unanswered grants can take
+   * effect any more.
    */
   readonly resigned?: boolean;
   /** Earlier keepers that, as far as this keeper can tell, may still act. */
@@ -51,8 +52,8 @@
 }
 
 /**
- * Identifies one run of an instance, so that a restarted instance is not
- * mistaken for its previous run.
+ * Identifies one incarnation of an instance, so that a restarted instance is
+ * not mistaken for its previous incarnation.
  */
 export function formatIncarnation(
   { instance, incarnation }: Pick<KeeperClaim, "instance" | "incarnation">,
--- a/packages/ownership/src/keeper_timing.ts
+++ b/packages/ownership/src/keeper_timing.ts
@@ -43,7 +43,7 @@
   /**
    * A keeper never acts without the store for longer than this, which is also
    * the longest store outage that it bridges. A successor that is not recorded
-   * as one of its witnesses waits for this time.
+   * as one of its witnesses waits for this time, and then for the hold.
    */
   readonly maxAuthorityMs: number;
   /** A target whose orders have failed for this long loses its keys. */
--- a/packages/ownership/src/keeper_timing_test.ts
+++ b/packages/ownership/src/keeper_timing_test.ts
@@ -3,8 +3,8 @@
 import { DEFAULT_KEEPER_TIMING, resolveKeeperTiming } from "./keeper_timing.ts";
 
 test("a shorter hold is renewed more often", () => {
-  // Guards against a target that accepts only a short hold: at the default
-  // interval, a single failed renewal would let the hold expire.
+  // A target may accept only a short hold: at the default interval, a single
+  // failed renewal would let it expire.
   const timing = resolveKeeperTiming(1_000);
   const { holdMs, renewIntervalMs, ...others } = timing;
   assert.deepEqual({ holdMs, renewIntervalMs }, {
--- a/packages/ownership/src/key_keeper.ts
+++ b/packages/ownership/src/key_keeper.ts
@@ -44,9 +44,9 @@
 
 /**
  * State of the previous keeper. `none`: there was none. `resigned`: it has
- * stopped, and none of its orders is in flight. `ended`: it has stopped, but
- * its orders may be in flight. `unknown`: it may still be running and sending
- * orders.
+ * stopped, and none of its unanswered grants can take effect any more. `ended`:
+ * it has stopped, but its orders may be in flight. `unknown`: it may still be
+ * running and sending orders.
  */
 export interface PredecessorState {
   readonly kind: "none" | "resigned" | "ended" | "unknown";
@@ -267,8 +267,8 @@
    * Checked before each order. After a long time without the store, another
    * keeper may have claimed the partition, and its waiting time may be over. A
    * successor that was asked for pledges has refused them or waits until its
-   * last pledge has expired; a successor that was never asked waits for
-   * `maxAuthorityMs`.
+   * last pledge has expired, but at least for `authorityMs`; a successor that
+   * was never asked waits for `maxAuthorityMs`.
    */
   #mayAct(): boolean {
     const { clock, timing, getTrustedSinceMs, hasPledges } = this.#options;
--- a/packages/ownership/src/key_keeper_test.ts
+++ b/packages/ownership/src/key_keeper_test.ts
@@ -159,10 +159,9 @@
 });
 
 test("orders that were never sent do not extend a hold", async () => {
-  // In a store outage a target is lost, and its keeper tries to renew its keys
-  // for seconds on connections that never open. If the hold counted from the
-  // last attempt, its keys would go unserved for up to 3.5 s after the store is
-  // back.
+  // In a store outage a target is lost, and renewals fail for seconds since no
+  // connection opens. A hold that counted from the last attempt would leave its
+  // keys unserved for up to 3.5 s after the store is back.
   const simulation = new KeyKeeperSimulation();
   simulation.startKeeper("one");
   await simulation.clock.advance(500);
@@ -210,10 +209,9 @@
 });
 
 test("a release stays valid when its range gets yet another owner", async () => {
-  // A successor moves a hot key, and the new owner never answers and is
-  // replaced in turn. A second release of the former holder restarted the wait
-  // for unanswered grants: the key had no owner for 6.5 s, and 750 requests
-  // were rejected.
+  // A successor moves a hot key to an owner that never answers and is replaced.
+  // A second release of the former holder restarted the wait for unanswered
+  // grants: no owner for 6.5 s, and 750 rejected requests.
   const simulation = new KeyKeeperSimulation();
   simulation.candidates = [createCandidate("a")];
   simulation.startKeeper("one");
@@ -290,8 +288,8 @@
 });
 
 test("a keeper stops renewing when its authority has ended", async () => {
-  // During a longer time without the store, another keeper may have been
-  // claimed.
+  // During a longer time without the store, another instance may have claimed
+  // the partition.
   const simulation = new KeyKeeperSimulation();
   simulation.startKeeper("one");
   await simulation.clock.advance(500);
@@ -302,8 +300,8 @@
 
 test("after its machine was suspended, a keeper sends no order until the store confirms it", async () => {
   // The monotonic clock stands still while the machine is suspended, so the
-  // keeper would take its authority for recent. Earlier confirmations must not
-  // count.
+  // keeper would consider its last confirmation recent. Earlier confirmations
+  // must not count.
   const simulation = new KeyKeeperSimulation();
   let trustedSinceMs = -Infinity;
   simulation.startKeeper("one", { getTrustedSinceMs: () => trustedSinceMs });
@@ -333,8 +331,8 @@
 
 test("a keeper reports the end of the partition after the response to a table was lost", async () => {
   // The store accepts a table, but its response is lost. The next table is sent
-  // as a difference from it, which instances without it would apply to an older
-  // table, and so send keys to wrong owners.
+  // as a difference: instances that lack the lost one would apply it to an
+  // older table and send keys to wrong owners.
   const simulation = new KeyKeeperSimulation();
   const restoredEnds: number[] = [];
   simulation.recordRestored = (end) => restoredEnds.push(end);
--- a/packages/ownership/src/merge_plan.ts
+++ b/packages/ownership/src/merge_plan.ts
@@ -15,7 +15,10 @@
   type OwnerLoad,
 } from "./owner_load.ts";
 
-/** Few at a time: a merge pays off later, a move of busy keys at once. */
+/**
+ * Maximum number of merges in one plan. It is low, since a move of busy keys
+ * helps at once, but a merge only later.
+ */
 const MAX_MERGES = 4;
 /**
  * A range that uses at least this share of its owner's capacity is not merged.
--- a/packages/ownership/src/owner_load.ts
+++ b/packages/ownership/src/owner_load.ts
@@ -44,7 +44,7 @@
   readonly candidate: OwnerCandidate;
   /** Load as a share of the candidate's capacity. */
   utilization: number;
-  /** The same, less what chance may have added to the counts. */
+  /** The same, from rates without what chance may have added to the counts. */
   utilizationLowerBound: number;
   /** Whether the recent rate is clearly above the long-term rate. */
   isHotspot: boolean;
--- a/packages/ownership/src/table_reconciler.ts
+++ b/packages/ownership/src/table_reconciler.ts
@@ -85,7 +85,7 @@
 }
 
 /**
- * A target that has been sent no order for this long is tried again. Without a
+ * A target whose last failed order is this long ago is tried again. Without a
  * retry, a target that was unreachable once would never own keys again. With a
  * shorter time, a target that never answers would more often leave its new keys
  * unserved for 1.2 s.
--- a/packages/ports/src/tick.ts
+++ b/packages/ports/src/tick.ts
@@ -7,10 +7,10 @@
 /**
  * Sleeps until the next multiple of a period; this process's clock.
  *
- * Load pattern: in a deployment of 76 instances, eight loops with periods of 50
- * to 500 ms, each at its own times, wake an idle instance 75 times a second,
- * and a wake-up costs about 0.1 ms. Loops that wake at multiples of their
- * periods wake together. A timer may fire slightly early, so a multiple that is
+ * In a deployment of 76 instances, eight loops with periods of 50 to 500 ms,
+ * each at its own times, wake an idle instance 75 times a second, and a wake-up
+ * costs about 0.1 ms. Loops that wake at multiples of their periods wake
+ * together. A timer may fire slightly early, so a multiple that is
  * too close is skipped.
  */
 export function sleepUntilTick(
--- a/packages/routing/src/account_limiter_test.ts
+++ b/packages/routing/src/account_limiter_test.ts
@@ -66,7 +66,7 @@
   assert.equal(later.kind, "admitted");
 });
 
-test("concurrent requests are bounded, and a released one makes room", () => {
+test("concurrent requests are bounded, and one that ends makes room", () => {
   const limiter = new AccountLimiter({ instanceCount: 1 });
   const parameters = { ...PARAMETERS, maxConcurrent: 1 };
   const admit = () => limiter.admit("nile", "case-files", parameters, 0).kind;
--- a/packages/routing/src/fair_scheduler.ts
+++ b/packages/routing/src/fair_scheduler.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Accounts that are remembered. Forgetting an account costs nothing unless its
- * next tag is ahead of the virtual time.
+ * Maximum number of accounts that are remembered. Forgetting an account costs
+ * nothing unless its next tag is ahead of the virtual time.
  */
 const MAX_ACCOUNTS = 4_096;
 
--- a/packages/routing/src/request_pacer.ts
+++ b/packages/routing/src/request_pacer.ts
@@ -10,7 +10,7 @@
   | { readonly kind: "granted"; readonly waitMs: number }
   | { readonly kind: "refused"; readonly retryAfterMs: number };
 
-/** Unused capacity can be made up for within this time. */
+/** Requests may be sent this much ahead of an even pace, as a burst. */
 const BURST_MS = 500;
 /**
  * Lower rates are raised to this one: otherwise it would take too long to
--- a/packages/routing/src/retry_budget.ts
+++ b/packages/routing/src/retry_budget.ts
@@ -1,11 +1,11 @@
 /**
  * Retry budget of one service, shared by all instances.
  *
- * Load pattern: targets become slow or refuse requests, every request is
- * retried, and the load doubles when capacity is lowest. The budget is a
- * fraction of the first attempts of this instance plus its part of a fixed
- * reserve, both over a sliding window. The budgets of all instances add up to
- * less than the configured total, whatever the number of instances.
+ * Failure: targets become slow or refuse requests, every request is retried,
+ * and the load doubles when capacity is lowest. The budget is a fraction of the
+ * first attempts of this instance plus its part of a fixed reserve, both over a
+ * sliding window. The budgets of all instances add up to less than the
+ * configured total, whatever the number of instances.
  */
 
 export interface RetryLimits {
--- a/packages/routing/src/service_places_test.ts
+++ b/packages/routing/src/service_places_test.ts
@@ -65,7 +65,7 @@
 }
 
 test("a target gets at most two requests more than it has places", () => {
-  // An overloaded target may never answer, nor anything else on that
+  // An overloaded target may never answer this or any other request on the
   // connection. Excess requests are queued here and sent when a response
   // arrives.
   const places = createPlaces(createTarget("a"));
--- a/packages/routing/src/unanswered_sends_test.ts
+++ b/packages/routing/src/unanswered_sends_test.ts
@@ -21,7 +21,7 @@
   assert.equal(sends.takeEnded("t1", 200).length, 0);
 });
 
-test("an answer to an earlier send does not show that the target still runs", () => {
+test("a response to an earlier send does not show that the target still runs", () => {
   const sends = createSends();
   sends.recordAnswered("t1", 99);
   assert.equal(sends.takeEnded("t1", 200).length, 1);
