--- a/packages/routing/src/account_limiter.ts
+++ b/packages/routing/src/account_limiter.ts
@@ -64,7 +64,9 @@
     this.#instanceCount = Math.max(1, options.instanceCount);
   }
 
-  /** Sets the number of live instances, from which the equal share is computed. */
+  /**
+   * Sets the number of live instances, from which the equal share is computed.
+   */
   setInstanceCount(count: number): void {
     this.#instanceCount = Math.max(1, count);
   }
--- a/packages/trials/src/load/places_simulation.ts
+++ b/packages/trials/src/load/places_simulation.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates several instances that share targets, without a network. The real
- * modules that choose places receive requests, responses and the load reports of
- * peers with the delays of a network. The simulation counts the results.
+ * modules that choose places receive requests, responses and the load reports
+ * of peers with the delays of a network. The simulation counts the results.
  */
 import type { KnownTarget } from "@lentilspur/ports/routing_table";
 import type { AccountShare } from "@lentilspur/routing/fair_scheduler";
@@ -29,7 +29,9 @@
    * late. The simulation does not enforce the deadline.
    */
   readonly deadlineMs: number;
-  /** Returns the only target that may run a request; absent if any target may. */
+  /**
+   * Returns the only target that may run a request; absent if any target may.
+   */
   readonly chooseOwner?: (random: TrafficRandom) => string;
   readonly share?: AccountShare;
 }
@@ -43,8 +45,8 @@
   readonly streams: readonly RequestStream[];
   readonly durationMs: number;
   /**
-   * Mean intervals at which an instance reports its load to peers in its own and
-   * in other data centres; 40 and 250 ms by default.
+   * Mean intervals at which an instance reports its load to peers in its own
+   * and in other data centres; 40 and 250 ms by default.
    */
   readonly reportIntervals?: {
     readonly localMs: number;
@@ -64,7 +66,9 @@
 
 export interface LoadResult {
   readonly streams: readonly StreamResult[];
-  /** Largest number of requests at one target at one time, running and queued. */
+  /**
+   * Largest number of requests at one target at one time, running and queued.
+   */
   readonly maxAtTarget: number;
 }
 
--- a/packages/trials/src/load/places_simulation_test.ts
+++ b/packages/trials/src/load/places_simulation_test.ts
@@ -64,7 +64,8 @@
 
 test("at twice the nominal capacity, over 72% of that capacity is served in time", () => {
   // Queueing gains nothing under overload: requests that cannot be in time are
-  // refused at once, so that places serve callers that can still use a response.
+  // refused at once, so that places serve callers that can still use a
+  // response.
   const { streams: [result] } = runScenario([
     createStream(() => 2 * NOMINAL_CAPACITY_PER_SECOND),
   ]);
@@ -109,12 +110,14 @@
 });
 
 test("39 instances with late load reports do not all choose one target", () => {
-  // Load reports are sent every 150 ms on average, so what an instance knows of its
-  // peers is out of date. If all instances choose the target that looks best, it gets twelve requests and
-  // runs two, and a full target may never respond: 83% were in time and 3% refused. With the
-  // current choice, 93% are in time and none refused.
+  // Load reports are sent every 150 ms on average, so what an instance knows of
+  // its peers is out of date. If all instances choose the target that looks
+  // best, it gets twelve requests and runs two, and a full target may never
+  // respond: 83% were in time and 3% refused. With the current choice, 93% are
+  // in time and none refused.
 
-  // A large data centre at two thirds of its capacity: 17 targets of 0.5 to 1.5 times normal speed.
+  // A large data centre at two thirds of its capacity: 17 targets of 0.5 to 1.5
+  // times normal speed.
   const speeds = [0.5, 1, 1, 1.5];
   const targets = Array.from({ length: 17 }, (_, index) => ({
     id: `t${index}`,
--- a/packages/trials/src/measure/load_measurement.ts
+++ b/packages/trials/src/measure/load_measurement.ts
@@ -1,4 +1,7 @@
-/** Measures how 12 instances and 12 targets serve callers, by load, in virtual time. */
+/**
+ * Measures how 12 instances and 12 targets serve callers, by load, in virtual
+ * time.
+ */
 import {
   PlacesSimulation,
   type RequestStream,
@@ -14,7 +17,10 @@
   dataCentre: DATA_CENTRES[index % 3]!,
   getSpeed: () => SPEEDS[Math.floor(index / 3) % 3]!,
 }));
-/** At speed 1. The mean of the targets' speeds is 0.9, so they serve a tenth less. */
+/**
+ * At speed 1. The mean of the targets' speeds is 0.9, so they serve a tenth
+ * less.
+ */
 const NOMINAL_CAPACITY_PER_SECOND = TARGETS.length * 2 * 1_000 / WORK_MS;
 const DURATION_MS = 12_000;
 const SEEDS = [5, 6, 7];
@@ -70,7 +76,9 @@
   ];
 }
 
-/** Draws an owner in proportion to its speed, as the planner distributes keys. */
+/**
+ * Draws an owner in proportion to its speed, as the planner distributes keys.
+ */
 function chooseOwner(random: TrafficRandom): string {
   const total = TARGETS.reduce((sum, { getSpeed }) => sum + getSpeed(), 0);
   let remaining = random.draw() * total;
--- a/packages/trials/src/soak/faulty_link.ts
+++ b/packages/trials/src/soak/faulty_link.ts
@@ -8,7 +8,10 @@
 
 export type LinkFaultMode =
   | "passing"
-  /** Blocks bytes in both directions, also on new connections, without closing any. */
+  /**
+   * Blocks bytes in both directions, also on new connections, without closing
+   * any.
+   */
   | "silent"
   /** Blocks bytes from the far address only. */
   | "deaf"
@@ -24,7 +27,9 @@
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
   #faultMode: LinkFaultMode = "passing";
-  /** Blocked transfers, in order, which run when the link passes bytes again. */
+  /**
+   * Blocked transfers, in order, which run when the link passes bytes again.
+   */
   #blockedTransfers: (() => void)[] = [];
 
   constructor(farAddress: string) {
--- a/packages/trials/src/soak/soak_cli.ts
+++ b/packages/trials/src/soak/soak_cli.ts
@@ -25,7 +25,9 @@
 
 /** Mean time from the start of one fault to the start of the next. */
 const FAULT_INTERVAL_MS = 1_500;
-/** Every key must be served within this time after the last fault is reverted. */
+/**
+ * Every key must be served within this time after the last fault is reverted.
+ */
 const RECOVERY_TIMEOUT_MS = 15_000;
 
 interface SoakArguments {
--- a/packages/trials/src/soak/soak_faults.ts
+++ b/packages/trials/src/soak/soak_faults.ts
@@ -47,7 +47,9 @@
 const FATAL_INTERVAL_MS = 1_000;
 const LIMITS_PER_SECOND = [0.5, 2.5, 8];
 const RATE_LIMIT_DURATION_MS = 10_000;
-/** Interval of extra requests for the service of a target whose rate is limited. */
+/**
+ * Interval of extra requests for the service of a target whose rate is limited.
+ */
 const EXTRA_REQUEST_INTERVAL_MS = 40;
 /** A target is stopped this long after it announced that it leaves. */
 const LEAVING_MS = 6_000;
@@ -55,7 +57,9 @@
 export class FaultInjector {
   readonly #trial: Trial;
   readonly #random: TrafficRandom;
-  /** Names of the instances, targets and resources that active faults affect. */
+  /**
+   * Names of the instances, targets and resources that active faults affect.
+   */
   readonly #inUse = new Set<string>();
   #fatalRequestCount = 0;
 
@@ -118,8 +122,8 @@
         await this.#restartInstance(instance);
         break;
       case "instance-stopped":
-        // Other instances may be killed meanwhile, so only attempts sent to this
-        // instance count.
+        // Other instances may be killed meanwhile, so only attempts sent to
+        // this instance count.
         await this.#trial.checkPlannedStop(
           instance,
           ({ outcome, entry }) =>
@@ -166,8 +170,8 @@
       case "target-killed":
         await processes.killTarget(target);
         await sleep(this.#drawValue(RESTART_DELAYS_MS));
-        // The new process has the same address, so it receives messages that are
-        // meant for the old process.
+        // The new process has the same address, so it receives messages that
+        // are meant for the old process.
         await processes.startTarget(target);
         break;
       case "target-paused":
--- a/packages/trials/src/standins/standin_cli.ts
+++ b/packages/trials/src/standins/standin_cli.ts
@@ -24,7 +24,9 @@
   subcommands,
 } from "cmd-ts";
 
-/** Reads the machine's monotonic clock, so that times of all processes compare. */
+/**
+ * Reads the machine's monotonic clock, so that times of all processes compare.
+ */
 class MachineClock extends SystemClock {
   override readMs(): number {
     return Number(process.hrtime.bigint()) / 1e6;
@@ -100,7 +102,8 @@
       clock,
       keyed: !unkeyed,
       isFatal: ({ path }) => path?.includes(FATAL_PARAMETER) === true,
-      // Like a crashed process, reports nothing and leaves its entry in the store.
+      // Like a crashed process, reports nothing and leaves its entry in the
+      // store.
       observeCrash: () => process.exit(CRASH_EXIT_CODE),
       writeEntry: (key, value) =>
         void client.append({ partition: TARGETS_PARTITION, key, value }),
--- a/packages/trials/src/start/child.ts
+++ b/packages/trials/src/start/child.ts
@@ -1,4 +1,6 @@
-/** Starts the child processes of a trial, and ends each by its own process id. */
+/**
+ * Starts the child processes of a trial, and ends each by its own process id.
+ */
 import { type ChildProcess, spawn } from "node:child_process";
 import { createWriteStream } from "node:fs";
 import process from "node:process";
@@ -23,7 +25,9 @@
 export class Child {
   readonly name: string;
   readonly logFile: string;
-  /** Resolves with the exit code, or with null if a signal ended the process. */
+  /**
+   * Resolves with the exit code, or with null if a signal ended the process.
+   */
   readonly ended: Promise<number | null>;
   readonly #process: ChildProcess;
   readonly #output: string[] = [];
@@ -64,7 +68,9 @@
     return this.#process.exitCode !== null || this.#process.signalCode !== null;
   }
 
-  /** Waits until the output matches `pattern`; returns the first captured group. */
+  /**
+   * Waits until the output matches `pattern`; returns the first captured group.
+   */
   async waitForOutput(pattern: RegExp, timeoutMs: number): Promise<string> {
     const deadlineMs = Date.now() + timeoutMs;
     for (;;) {
@@ -87,7 +93,9 @@
     this.#process.kill(signal);
   }
 
-  /** Sends SIGTERM, then SIGKILL if the process still runs after `timeoutMs`. */
+  /**
+   * Sends SIGTERM, then SIGKILL if the process still runs after `timeoutMs`.
+   */
   async stop(timeoutMs: number): Promise<number | null> {
     this.send("SIGTERM");
     const timer = setTimeout(() => this.send("SIGKILL"), timeoutMs);
@@ -96,7 +104,9 @@
     return code;
   }
 
-  /** Keeps only the start of the output in memory; the log file has all of it. */
+  /**
+   * Keeps only the start of the output in memory; the log file has all of it.
+   */
   #addText(bytes: Uint8Array): void {
     if (this.#output.length < MAX_OUTPUT_CHUNKS) {
       this.#output.push(bytes.toString());
--- a/packages/trials/src/start/deployment_processes.ts
+++ b/packages/trials/src/start/deployment_processes.ts
@@ -1,4 +1,7 @@
-/** Starts and stops the processes of one deployment: store, targets and instances. */
+/**
+ * Starts and stops the processes of one deployment: store, targets and
+ * instances.
+ */
 import { mkdirSync } from "node:fs";
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -32,7 +35,9 @@
   readonly logFile: string;
 }
 
-/** When a target's process ended unexpectedly, on the machine's monotonic clock. */
+/**
+ * When a target's process ended unexpectedly, on the machine's monotonic clock.
+ */
 export interface TargetExit {
   readonly target: string;
   readonly atMs: number;
@@ -53,7 +58,9 @@
   readonly targets: TargetProcess[] = [];
   readonly instances: InstanceProcess[] = [];
   readonly targetExits: TargetExit[] = [];
-  /** Proxies by the name of the instance before them or the target behind them. */
+  /**
+   * Proxies by the name of the instance before them or the target behind them.
+   */
   readonly links = new Map<string, FaultyLink>();
   readonly #options: DeploymentProcessesOptions;
   readonly #storeProcesses: Child[] = [];
@@ -126,7 +133,9 @@
     );
   }
 
-  /** Starts an instance under a new name, or under that of an ended instance. */
+  /**
+   * Starts an instance under a new name, or under that of an ended instance.
+   */
   async startInstance(
     name = `instance-${++this.#startedInstanceCount}`,
   ): Promise<InstanceProcess> {
@@ -168,12 +177,18 @@
     return await child.ended;
   }
 
-  /** Makes the target announce in the store that it leaves; the target keeps serving. */
+  /**
+   * Makes the target announce in the store that it leaves; the target keeps
+   * serving.
+   */
   async drainTarget({ address }: TargetProcess): Promise<void> {
     await sendJson(`http://${address}/standin/drain`, {});
   }
 
-  /** Sets the limit in requests per second that the target reports; null for none. */
+  /**
+   * Sets the limit in requests per second that the target reports; null for
+   * none.
+   */
   async setTargetLimit(
     { address }: TargetProcess,
     perSecond: number | null,
@@ -188,7 +203,9 @@
     });
   }
 
-  /** Kills a target's process with SIGKILL, so that it cannot stop gracefully. */
+  /**
+   * Kills a target's process with SIGKILL, so that it cannot stop gracefully.
+   */
   async killTarget(target: TargetProcess): Promise<void> {
     target.child.send("SIGKILL");
     await target.child.ended;
@@ -201,7 +218,10 @@
     this.targets.splice(this.targets.indexOf(target), 1);
   }
 
-  /** Kills an instance's process with SIGKILL, so that it cannot stop gracefully. */
+  /**
+   * Kills an instance's process with SIGKILL, so that it cannot stop
+   * gracefully.
+   */
   async killInstance(instance: InstanceProcess): Promise<void> {
     this.instances.splice(this.instances.indexOf(instance), 1);
     instance.child.send("SIGKILL");
@@ -230,7 +250,10 @@
     this.links.forEach((link) => link.close());
   }
 
-  /** Opens a proxy to `address` and returns its address; without proxies, `address`. */
+  /**
+   * Opens a proxy to `address` and returns its address; without proxies,
+   * `address`.
+   */
   async #openLink(name: string, address: string): Promise<string> {
     if (!this.#options.hasFaultyLinks) {
       return address;
@@ -246,7 +269,10 @@
   }
 }
 
-/** Waits until `check` returns true; returns false if it does not within `timeoutMs`. */
+/**
+ * Waits until `check` returns true; returns false if it does not within
+ * `timeoutMs`.
+ */
 export async function waitUntil(
   check: () => Promise<boolean>,
   timeoutMs: number,
--- a/packages/trials/src/start/start_cli.ts
+++ b/packages/trials/src/start/start_cli.ts
@@ -49,7 +49,9 @@
   process.exitCode = hasPassed(reports) ? 0 : 1;
 }
 
-/** Runs one deployment; keeps its logs and histories only if the trial failed. */
+/**
+ * Runs one deployment; keeps its logs and histories only if the trial failed.
+ */
 async function runDeployment(deployment: Deployment): Promise<TrialReport> {
   const options = makeTrialOptions(deployment);
   const report = await runTrial(options);
--- a/packages/trials/src/start/trial.ts
+++ b/packages/trials/src/start/trial.ts
@@ -1,7 +1,8 @@
 /**
- * Runs a deployment as processes with simulated callers, and checks the results.
- * `runTrial` runs one from a cold start: traffic with a hot key, a target that
- * leaves, an instance that is killed and replaced, and a planned stop.
+ * Runs a deployment as processes with simulated callers, and checks the
+ * results. `runTrial` runs one from a cold start: traffic with a hot key, a
+ * target that leaves, an instance that is killed and replaced, and a planned
+ * stop.
  */
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -33,11 +34,16 @@
 
 /** Every key must be served within this time after a cold start. */
 const START_TIMEOUT_MS = 20_000;
-/** A published configuration must be in force on all instances within this time. */
+/**
+ * A published configuration must be in force on all instances within this time.
+ */
 const IN_FORCE_TIMEOUT = "5s";
 /** Time without failures before the first one and after the last one. */
 const STEADY_TRAFFIC_MS = 3_000;
-/** Longer than `MAX_LEAVING_MS` of violations.ts, so that a run that starts too late is recorded. */
+/**
+ * Longer than `MAX_LEAVING_MS` of violations.ts, so that a run that starts too
+ * late is recorded.
+ */
 const LEAVING_MS = 6_000;
 /** Time with the new instance before the next step. */
 const REPLACEMENT_MS = 7_000;
@@ -72,7 +78,10 @@
     });
   }
 
-  /** Starts all processes, publishes a configuration, and waits until every key is served. */
+  /**
+   * Starts all processes, publishes a configuration, and waits until every key
+   * is served.
+   */
   async start(): Promise<void> {
     const { deployment, print } = this.#options;
     const startedAtMs = readMonotonicMs();
@@ -124,7 +133,9 @@
     await this.processes.stopAll();
   }
 
-  /** Announces that a target leaves, and stops its process `LEAVING_MS` later. */
+  /**
+   * Announces that a target leaves, and stops its process `LEAVING_MS` later.
+   */
   async removeTarget(): Promise<void> {
     const target = this.processes.targets[0]!;
     this.#options.print(`  target ${target.id} leaves`);
@@ -180,7 +191,9 @@
     }
   }
 
-  /** Checks that every key is served within `timeoutMs` after the last fault. */
+  /**
+   * Checks that every key is served within `timeoutMs` after the last fault.
+   */
   async checkRecovery(timeoutMs: number): Promise<void> {
     if (!await waitUntil(() => this.traffic.checkAllKeysServed(), timeoutMs)) {
       this.failedChecks.push(
@@ -189,7 +202,10 @@
     }
   }
 
-  /** Writes the callers' records next to the logs, to help find causes of failures. */
+  /**
+   * Writes the callers' records next to the logs, to help find causes of
+   * failures.
+   */
   #writeRecords(): void {
     const file = join(this.#options.directory, "callers.jsonl");
     const lines = this.traffic.records.map((each) => JSON.stringify(each));
@@ -210,7 +226,9 @@
     }
   }
 
-  /** Checks that every instance ends with the published configuration in force. */
+  /**
+   * Checks that every instance ends with the published configuration in force.
+   */
   async #checkVersions(): Promise<void> {
     for (const instance of this.processes.instances) {
       const version = await readVersion(instance);
@@ -238,7 +256,10 @@
   }
 }
 
-/** Checks whether a request ran, or was refused for a reason unrelated to the stop. */
+/**
+ * Checks whether a request ran, or was refused for a reason unrelated to the
+ * stop.
+ */
 function isServedOrOverLimit(record: CallerRecord): boolean {
   return record.outcome === "ran" ||
     record.errorKind === "overloaded" ||
--- a/packages/trials/src/start/trial_report.ts
+++ b/packages/trials/src/start/trial_report.ts
@@ -28,7 +28,10 @@
   readonly notRun: number;
   /** Requests whose outcome the caller does not know. */
   readonly unknown: number;
-  /** Key ranges that keepers gave a new owner, including the initial assignments. */
+  /**
+   * Key ranges that keepers gave a new owner, including the initial
+   * assignments.
+   */
   readonly moves: number;
   readonly unservedMsMax: number;
   /** Result of the audit of the instances' log lines. */
--- a/packages/trials/src/traffic/caller.ts
+++ b/packages/trials/src/traffic/caller.ts
@@ -53,9 +53,10 @@
 
   /**
    * Sends until the request has run, no further attempt is allowed, or
-   * `MAX_ATTEMPTS` is reached; returns the record of the last attempt. A further
-   * attempt is allowed if the response says that the request did not run and may
-   * be sent again, or if the outcome of an idempotent request is unknown.
+   * `MAX_ATTEMPTS` is reached; returns the record of the last attempt. A
+   * further attempt is allowed if the response says that the request did not
+   * run and may be sent again, or if the outcome of an idempotent request is
+   * unknown.
    */
   async send(logicalRequest: LogicalRequest): Promise<CallerRecord> {
     const wantedId = randomUUID();
@@ -73,7 +74,9 @@
     await this.#agent.destroy();
   }
 
-  /** Sends one attempt and returns its record without reporting it to `record`. */
+  /**
+   * Sends one attempt and returns its record without reporting it to `record`.
+   */
   async sendOnce(
     logicalRequest: LogicalRequest,
     wantedId: string = randomUUID(),
--- a/packages/trials/src/traffic/caller_record.ts
+++ b/packages/trials/src/traffic/caller_record.ts
@@ -25,7 +25,9 @@
   readonly errorKind?: string;
   /** Whether the error response says that another attempt makes sense. */
   readonly mayResend?: boolean;
-  /** Whether the body of the target's response names this request's id and path. */
+  /**
+   * Whether the body of the target's response names this request's id and path.
+   */
   readonly isOwnAnswer?: boolean;
   /** SHA-256 of the body, in hex. */
   readonly answerDigest?: string;
--- a/packages/trials/src/traffic/fatal_request.ts
+++ b/packages/trials/src/traffic/fatal_request.ts
@@ -27,7 +27,10 @@
   };
 }
 
-/** Lists fatal requests that reached targets too often after they should have been quarantined. */
+/**
+ * Lists fatal requests that reached targets too often after they should have
+ * been quarantined.
+ */
 export function listUnquarantinedRequests(
   runs: readonly TargetRun[],
 ): readonly { readonly path: string; readonly sends: number }[] {
--- a/packages/trials/src/traffic/target_limit.ts
+++ b/packages/trials/src/traffic/target_limit.ts
@@ -1,8 +1,13 @@
-/** Checks that targets receive no more requests than their rate limits allow. */
+/**
+ * Checks that targets receive no more requests than their rate limits allow.
+ */
 import type { TargetRun } from "@lentilspur/ports/fake_target";
 import { countMaxInWindow } from "@lentilspur/ports/window_count";
 
-/** A period in which a target reported a limit, on the machine's monotonic clock. */
+/**
+ * A period in which a target reported a limit, on the machine's monotonic
+ * clock.
+ */
 export interface RateLimitPeriod {
   readonly target: string;
   readonly perSecond: number;
@@ -17,7 +22,10 @@
 const TOLERANCE_FACTOR = 1.5;
 const TOLERANCE_REQUESTS = 5;
 
-/** Lists periods in which a window had too many requests, with the largest count. */
+/**
+ * Lists periods in which a window had too many requests, with the largest
+ * count.
+ */
 export function listExceededLimits(
   runs: readonly TargetRun[],
   periods: readonly RateLimitPeriod[],
--- a/packages/trials/src/traffic/traffic_generator.ts
+++ b/packages/trials/src/traffic/traffic_generator.ts
@@ -1,4 +1,6 @@
-/** Runs the callers of all client accounts, which send until they are stopped. */
+/**
+ * Runs the callers of all client accounts, which send until they are stopped.
+ */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Random } from "@lentilspur/ports/clock";
 import { SystemClock } from "@lentilspur/ports/system_clock";
@@ -63,7 +65,10 @@
     this.records.push(await caller.sendOnce(makeRequest(kind, key)));
   }
 
-  /** Sends a fatal request as one of the callers; `name` distinguishes it from others. */
+  /**
+   * Sends a fatal request as one of the callers; `name` distinguishes it from
+   * others.
+   */
   async sendFatalRequest(name: string): Promise<void> {
     const kind = this.#options.deployment.requests[0]!;
     const logicalRequest = makeRequest(kind, this.#makeKey(0));
--- a/packages/trials/src/traffic/traffic_random.ts
+++ b/packages/trials/src/traffic/traffic_random.ts
@@ -2,7 +2,9 @@
 import { SeededRandom } from "@lentilspur/ports/seeded_random";
 
 export class TrafficRandom extends SeededRandom {
-  /** Draws an exponentially distributed time, as between independent arrivals. */
+  /**
+   * Draws an exponentially distributed time, as between independent arrivals.
+   */
   drawExponential(mean: number): number {
     return -mean * Math.log(1 - this.draw());
   }
--- a/packages/trials/src/traffic/violations.ts
+++ b/packages/trials/src/traffic/violations.ts
@@ -165,8 +165,8 @@
 /**
  * Checks that a leaving target starts no run after `MAX_LEAVING_MS`. Instances
  * that cannot read the store do not know that a target leaves. Runs during an
- * outage that ends after the announcement, or within `MAX_LEAVING_MS` of the end
- * of that outage, are therefore not violations.
+ * outage that ends after the announcement, or within `MAX_LEAVING_MS` of the
+ * end of that outage, are therefore not violations.
  */
 function checkLeavingTargets(
   runs: readonly TargetRun[],
@@ -212,8 +212,8 @@
 
 /**
  * Computes the longest time that a key went unserved: from the start of the
- * first failed attempt, or of a slow one, to the next complete response for that
- * key.
+ * first failed attempt, or of a slow one, to the next complete response for
+ * that key.
  */
 export function computeUnservedMsMax(
   records: readonly CallerRecord[],
