--- a/packages/trials/src/load/places_simulation_test.ts
+++ b/packages/trials/src/load/places_simulation_test.ts
@@ -110,14 +110,13 @@
 });
 
 test("39 instances with late load reports do not all choose one target", () => {
-  // Load reports are sent every 150 ms on average, so what an instance knows of
-  // its peers is out of date. If all instances choose the target that looks
-  // best, it gets twelve requests and runs two, and a full target may never
-  // respond: 83% were in time and 3% refused. With the current choice, 93% are
-  // in time and none refused.
+  // Load reports, sent every 150 ms on average, are out of date. If all choose
+  // the target that looks best, it fills up and may never respond: 83% are in
+  // time, 3% refused. With the current choice, 93% are in time, none refused.
 
   // A large data centre at two thirds of its capacity: 17 targets of 0.5 to 1.5
-  // times normal speed.
+  // times normal speed. A target that all instances choose gets twelve requests
+  // and runs two.
   const speeds = [0.5, 1, 1, 1.5];
   const targets = Array.from({ length: 17 }, (_, index) => ({
     id: `t${index}`,
